--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -13,7 +13,7 @@
 
 from wigeonhitch.jobs import model, record
 from wigeonhitch.platform import entries, workers
-from wigeonhitch.pool import belief, core, planner, tidy
+from wigeonhitch.pool import compaction, core, planner, view
 
 __all__ = ["main", "make_burst"]
 
@@ -23,7 +23,7 @@
 
 def make_burst(vms: int, jobs: int) -> tuple[core.Pool, planner.Planner]:
     """Return a pool with running work and jobs that wait."""
-    times = belief.Times(6.5, 0.2)
+    times = view.TimeBounds(6.5, 0.2)
     pool = core.Pool("p", 10, 1, times, NOW, lambda *_, **__: None)
     pool.on_queues([model.Queue("q", "h", "/q/", "p", objective=0.6, stretch=1.6)])
     for number in range(vms):
@@ -49,7 +49,7 @@
     for number in range(rounds):
         _end_some(pool, number, 6)
         _confirm(pool, made.plan(NOW, NOW))
-        made.make_board(NOW, NOW)
+        made.build_status(NOW, NOW)
     return (time.process_time() - began) / rounds * 1000
 
 
@@ -70,7 +70,7 @@
 
 def _add(pool: core.Pool, id: str, *steps: model.Step) -> None:
     job = model.Job(id, "q", "", steps)
-    place = tidy.JobPlace("job00", "p.0")
+    place = compaction.RowLocation("job00", "p.0")
     pool.on_job(id, record.JobRecord(job, NOW, False), 20, place)
 
 
@@ -85,7 +85,9 @@
     runs = [run for run in pool.live.values() if not run.step.lasting][:count]
     for run in runs:
         one = run.vm
-        end = workers.Ended(one.seen + 1, run.task, run.number, model.End.DONE, "")
+        end = workers.Ended(
+            one.processed_end + 1, run.task, run.number, model.End.DONE, ""
+        )
         listed = tuple(
             workers.Running(r.task, r.number, "", 100, 0) for r in one.runs.values()
         )
--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -19,7 +19,9 @@
 
 def note_uncommitted_ends() -> None:
     """Tell workers that an end is noted before it is durable."""
-    vm.Vm.noted = property(lambda self: self.seen, lambda self, number: None)
+    vm.Vm.committed_end = property(
+        lambda self: self.processed_end, lambda self, number: None
+    )
 
 
 def skip_lapses() -> None:
--- a/wigeonhitch/jobs/model.py
+++ b/wigeonhitch/jobs/model.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 __all__ = [
-    "MOST",
-    "TASKS_MOST",
+    "MAX_VALUE",
+    "MAX_OPEN_TASKS",
     "Advice",
     "Catalogue",
     "End",
@@ -23,11 +23,11 @@
 ]
 
 
-MOST = 10**9
+MAX_VALUE = 10**9
 """Highest count, size or number of milliseconds in a job: far above any that
 can be served, and small enough for sums and rows."""
 
-TASKS_MOST = 5000
+MAX_OPEN_TASKS = 5000
 """Most tasks of a job over all steps and occurrences that are open at once; a
 leader keeps some bytes for each."""
 
@@ -225,7 +225,7 @@
 
     name: str
     standby: bool = False
-    guards_room: bool = False
+    has_admission_control: bool = False
     """Whether its workers refuse what doesn't fit."""
 
 
--- a/wigeonhitch/jobs/progress.py
+++ b/wigeonhitch/jobs/progress.py
@@ -9,7 +9,7 @@
 
 from wigeonhitch.jobs import model
 
-__all__ = ["Progress", "choose_final"]
+__all__ = ["Progress", "resolve_final_state"]
 
 
 class Progress:
@@ -153,7 +153,7 @@
         return task
 
 
-def choose_final(
+def resolve_final_state(
     noted: model.JobState, noted_at: int, cancelled_at: int
 ) -> model.JobState:
     """Return how a job has ended, where it may have been cancelled as well.
--- a/wigeonhitch/jobs/tests/test_jobs.py
+++ b/wigeonhitch/jobs/tests/test_jobs.py
@@ -67,13 +67,13 @@
 steps = st.builds(
     model.Step,
     count=st.integers(1, 70),
-    room=st.builds(model.Room, *[st.integers(0, model.MOST)] * 3),
+    room=st.builds(model.Room, *[st.integers(0, model.MAX_VALUE)] * 3),
     estimate=st.floats(0, 9),
     checkpoint=st.booleans(),
     lasting=st.booleans(),
     label=st.sampled_from(["", "a"]),
     max_unavailable=st.integers(0, 3),
-    spread=st.integers(0, model.MOST),
+    spread=st.integers(0, model.MAX_VALUE),
     after=st.just(()),
     target=st.floats(0, 9),
 )
--- a/wigeonhitch/maintenance/core.py
+++ b/wigeonhitch/maintenance/core.py
@@ -84,7 +84,7 @@
         self.vms: dict[str, fleet.Vm] = {}
         self.listed_at = 0.0
         self.pools: dict[str, model.Pool] = {}
-        self.boards: dict[str, pool_record.Board] = {}
+        self.boards: dict[str, pool_record.PoolStatus] = {}
         self.closings: dict[str, record.Closing] = {}
         self.closed_since: dict[str, float] = {}
         self.closed_at: dict[str, int] = {}
--- a/wigeonhitch/maintenance/demand.py
+++ b/wigeonhitch/maintenance/demand.py
@@ -180,7 +180,9 @@
     for pool, board in state.boards.items():
         if pool not in state.pools or state.is_standby(pool):
             continue
-        missing = max(board.unmet, board.wanted - board.room, _find_backlog(board))
+        missing = max(
+            board.unmet, board.peak_demand - board.batch_capacity, _find_backlog(board)
+        )
         count = _count_missing(state, pool, missing)
         if count > 0:
             needs.append((pool, count))
@@ -199,13 +201,13 @@
 def _count_short(state: core.Fleet, pool: str) -> int:
     """Return the VMs without which a pool's work can't be in time."""
     board = state.boards[pool]
-    missing = max(board.least - board.room, _find_backlog(board))
+    missing = max(board.min_demand - board.batch_capacity, _find_backlog(board))
     return _count_missing(state, pool, missing)
 
 
-def _find_backlog(board: pool_record.Board) -> int:
+def _find_backlog(board: pool_record.PoolStatus) -> int:
     """Return the room, thousandths of a core, for what piles up in a burst."""
-    return round(PILED_UP * max(0, board.arriving - board.room))
+    return round(PILED_UP * max(0, board.arriving_demand - board.batch_capacity))
 
 
 def _find_size(state: core.Fleet) -> int:
@@ -275,7 +277,11 @@
     board = state.boards[pool]
     size = _find_size(state)
     above = _count_above_home(state, pool)
-    if above > 0 or board.unmet or board.room - board.least < KEPT_WHEN_LENDING * size:
+    if (
+        above > 0
+        or board.unmet
+        or board.batch_capacity - board.min_demand < KEPT_WHEN_LENDING * size
+    ):
         return []
     count = state.home.get(pool, 0) // LENT_SHARE + above
     return _list_free(state, pool, board.bare)[: max(0, count)]
@@ -286,5 +292,8 @@
     board = state.boards[pool]
     listed = _list_free(state, pool, board.light)
     size = max(1, _find_size(state))
-    count = min((board.room - board.least) // size, _count_above_home(state, pool))
+    count = min(
+        (board.batch_capacity - board.min_demand) // size,
+        _count_above_home(state, pool),
+    )
     return listed[: max(0, count)]
--- a/wigeonhitch/maintenance/task.py
+++ b/wigeonhitch/maintenance/task.py
@@ -42,7 +42,7 @@
 
 
 class Surroundings(NamedTuple):
-    """What the leader works with; see `wigeonhitch.pool.surroundings`.
+    """What the leader works with; see `wigeonhitch.pool.dependencies`.
 
     ``get_store_time`` returns a time that the store's clock hasn't passed;
     ``order_gap`` is for how long two leaders may not follow each other about a VM.
@@ -139,7 +139,7 @@
     async def _follow_boards(self) -> None:
         await feed.follow(
             self.around.store,
-            pool_record.BOARD_TABLE,
+            pool_record.STATUS_TABLE,
             self._read_boards,
             self._take_boards,
             feed.Times(BOARD_WAIT, BOARD_WAIT + TIMEOUT / 2, PERIOD),
@@ -152,7 +152,7 @@
 
     async def _read_board(self, pool: str) -> rows.Range:
         read = await self.around.store.read(
-            pool_record.BOARD_TABLE, pool, timeout=TIMEOUT
+            pool_record.STATUS_TABLE, pool, timeout=TIMEOUT
         )
         if read.outcome is table.Outcome.DONE:
             self._take_boards(read.rows)
@@ -161,7 +161,7 @@
     def _take_boards(self, found: tuple[rows.Row, ...]) -> None:
         for row in found:
             if row.value is not None:
-                self.state.boards[row.part] = pool_record.read_board(row.value)
+                self.state.boards[row.part] = pool_record.read_status(row.value)
                 self._wake.set()
 
     async def _commit(self, writes: list[rows.Write]) -> int:
--- a/wigeonhitch/maintenance/tests/test_decisions.py
+++ b/wigeonhitch/maintenance/tests/test_decisions.py
@@ -30,7 +30,7 @@
     listed += [make_vm(f"off{n}", "off", worker="") for n in range(2)]
     made.on_vms(tuple(listed), NOW)
     for pool in "ab":
-        made.boards[pool] = pool_record.Board({}, 0, 20000)
+        made.boards[pool] = pool_record.PoolStatus({}, 0, 20000)
     return made
 
 
@@ -185,7 +185,9 @@
 
 def test_a_burst_seen_from_what_is_handed_in_takes_vms_before_the_pool_is_full(state):
     board = state.boards["a"]
-    state.boards["a"] = board._replace(wanted=256000, least=100000, room=192000)
+    state.boards["a"] = board._replace(
+        peak_demand=256000, min_demand=100000, batch_capacity=192000
+    )
 
     moves = pick(demand.plan_moves(state, NOW), core.Move)
 
@@ -197,9 +199,17 @@
     extra = [make_vm(f"x{n}", "b") for n in range(6)]
     state.on_vms((*state.vms.values(), *extra), NOW)
     light = tuple(f"w-x{n}" for n in range(6))
-    state.boards["a"] = pool_record.Board({}, wanted=350000, least=350000, room=192000)
-    state.boards["b"] = pool_record.Board(
-        {}, 0, 0, light=light, wanted=380000, least=192000, room=384000
+    state.boards["a"] = pool_record.PoolStatus(
+        {}, peak_demand=350000, min_demand=350000, batch_capacity=192000
+    )
+    state.boards["b"] = pool_record.PoolStatus(
+        {},
+        0,
+        0,
+        light=light,
+        peak_demand=380000,
+        min_demand=192000,
+        batch_capacity=384000,
     )
 
     closed = pick(demand.plan_moves(state, NOW), core.Close)
@@ -212,7 +222,7 @@
     listed = list(state.vms.values())
     listed += [make_vm(f"off{n}", "off", worker="") for n in range(2, 28)]
     state.on_vms(tuple(listed), NOW)
-    state.boards["a"] = pool_record.Board({}, 40 * 32000, 0)
+    state.boards["a"] = pool_record.PoolStatus({}, 40 * 32000, 0)
 
     moves = pick(demand.plan_moves(state, NOW), core.Move)
 
@@ -227,7 +237,7 @@
     state.moves_at_once = demand.compute_moves_at_once(orders_per_second)
     spare = [make_vm(f"off{n}", "off", worker="") for n in range(105)]
     state.on_vms(tuple(spare), NOW)
-    state.boards["a"] = pool_record.Board({}, 200 * ROOM.cpu)
+    state.boards["a"] = pool_record.PoolStatus({}, 200 * ROOM.cpu)
 
     assert len(pick(demand.plan_moves(state, NOW), core.Move)) == sent
 
@@ -236,16 +246,24 @@
     """It lacks one VM's room, so three are sent, as many as can be had."""
     more = [make_vm(f"off{n}", "off", worker="") for n in range(2, 6)]
     state.on_vms((*state.vms.values(), *more), NOW)
-    state.boards["a"] = pool_record.Board(
-        {}, wanted=100000, least=100000, room=192000, arriving=224000
+    state.boards["a"] = pool_record.PoolStatus(
+        {},
+        peak_demand=100000,
+        min_demand=100000,
+        batch_capacity=192000,
+        arriving_demand=224000,
     )
 
     assert len(pick(demand.plan_moves(state, NOW), core.Move)) == 3
 
 
 def test_a_burst_that_the_pool_holds_itself_asks_for_nothing(state):
-    state.boards["a"] = pool_record.Board(
-        {}, wanted=180000, least=100000, room=192000, arriving=180000
+    state.boards["a"] = pool_record.PoolStatus(
+        {},
+        peak_demand=180000,
+        min_demand=100000,
+        batch_capacity=192000,
+        arriving_demand=180000,
     )
 
     assert demand.plan_moves(state, NOW) == []
@@ -265,10 +283,12 @@
 
 def set_burst(state, *, room=192000, least=0, bare=6, unmet=0):
     """Pool a is asked for much more than it holds; b is between two bursts."""
-    state.boards["a"] = pool_record.Board({}, 320000, wanted=640000, least=640000)
+    state.boards["a"] = pool_record.PoolStatus(
+        {}, 320000, peak_demand=640000, min_demand=640000
+    )
     light = tuple(f"w-b{n}" for n in range(bare))
-    state.boards["b"] = pool_record.Board(
-        {}, unmet, room, light=light, bare=light, least=least, room=room
+    state.boards["b"] = pool_record.PoolStatus(
+        {}, unmet, room, light=light, bare=light, min_demand=least, batch_capacity=room
     )
 
 
@@ -308,7 +328,9 @@
     listed = [one for one in state.vms.values() if one.id != "b0"]
     state.on_vms((*listed, make_vm("b0", "a"), make_vm("spare", "a")), NOW)
     bare = ("w-b0", "w-spare")
-    state.boards["a"] = pool_record.Board({}, 0, 96000, bare=bare, room=256000)
+    state.boards["a"] = pool_record.PoolStatus(
+        {}, 0, 96000, bare=bare, batch_capacity=256000
+    )
     demand.plan_moves(state, NOW)
 
     closed = pick(demand.plan_moves(state, NOW + demand.IDLE_FOR), core.Close)
@@ -334,9 +356,11 @@
     spare = make_vm("spare", "b")
     state.on_vms((*state.vms.values(), spare), NOW)
     board = state.boards["a"]
-    state.boards["a"] = board._replace(unmet=160000, idle=0, least=160000)
+    state.boards["a"] = board._replace(unmet=160000, idle=0, min_demand=160000)
     board = state.boards["b"]
-    state.boards["b"] = board._replace(idle=64000, room=64000, light=("w-spare",))
+    state.boards["b"] = board._replace(
+        idle=64000, batch_capacity=64000, light=("w-spare",)
+    )
 
     (closing,) = pick(demand.plan_moves(state, NOW), core.Close)
 
--- a/wigeonhitch/maintenance/tests/test_task.py
+++ b/wigeonhitch/maintenance/tests/test_task.py
@@ -46,8 +46,8 @@
 def show(store, pool, **fields):
     """Show a board of a leader that knows all closings of this moment."""
     fields = {"closings": store.version, **fields}
-    value = pool_record.write_board(pool_record.Board({}, **fields))
-    store.put(pool_record.BOARD_TABLE, pool, pool_record.BOARD_TABLE, value)
+    value = pool_record.write_status(pool_record.PoolStatus({}, **fields))
+    store.put(pool_record.STATUS_TABLE, pool, pool_record.STATUS_TABLE, value)
 
 
 def list_closed(store):
@@ -58,7 +58,7 @@
 @pytest.fixture
 def store():
     made = rowstore.RowStore()
-    show(made, "a", unmet=128000, wanted=128000, least=128000)
+    show(made, "a", unmet=128000, peak_demand=128000, min_demand=128000)
     owner = leader_record.Owner(FLEET, "d", "life", 1, 0, 0.0)
     value = leader_record.write_owner(owner)
     made.put(leader_record.OWNER_TABLE, FLEET, leader_record.OWNER_KEY, value)
@@ -167,8 +167,8 @@
     machines.takes = 0.1
     store.put(record.HOME_TABLE, FLEET, "b", b"40")
     light = tuple(f"w{n}" for n in range(80))
-    show(store, "a", wanted=9000000, least=9000000)
-    show(store, "b", light=light, room=80 * 64000)
+    show(store, "a", peak_demand=9000000, min_demand=9000000)
+    show(store, "b", light=light, batch_capacity=80 * 64000)
 
     await lead(store, machines, 0.3)
 
--- a/wigeonhitch/platform/ingress.py
+++ b/wigeonhitch/platform/ingress.py
@@ -106,8 +106,8 @@
     """
     fields = orjson.loads(body)
     steps = tuple(_read_step(one) for one in fields["steps"])
-    if not steps or sum(step.count for step in steps) > model.TASKS_MOST:
-        raise ValueError(f"steps of up to {model.TASKS_MOST} tasks are expected")
+    if not steps or sum(step.count for step in steps) > model.MAX_OPEN_TASKS:
+        raise ValueError(f"steps of up to {model.MAX_OPEN_TASKS} tasks are expected")
     for number, step in enumerate(steps):
         if any(not 0 <= one < number for one in step.after):
             raise ValueError(f"step {number} after {step.after}; expected earlier ones")
@@ -149,8 +149,8 @@
 
 def _read_count(fields: dict[str, Any], name: str) -> int:
     value = int(fields.get(name) or 0)
-    if not 0 <= value <= model.MOST:
-        raise ValueError(f"{name} is {value}; expected 0 to {model.MOST}")
+    if not 0 <= value <= model.MAX_VALUE:
+        raise ValueError(f"{name} is {value}; expected 0 to {model.MAX_VALUE}")
     return value
 
 
--- a/wigeonhitch/platform/tests/test_site.py
+++ b/wigeonhitch/platform/tests/test_site.py
@@ -129,7 +129,7 @@
         {**STEP, "count": 10**30},
         {**STEP, "cpu": -1},
         {**STEP, "anti_affinity": 10**12},
-        {**STEP, "count": model.TASKS_MOST + 1},
+        {**STEP, "count": model.MAX_OPEN_TASKS + 1},
     ],
 )
 def test_a_job_that_can_not_be_kept_is_refused(step):
--- a/wigeonhitch/pool/__init__.py
+++ b/wigeonhitch/pool/__init__.py
@@ -1,28 +1,31 @@
 """Leading one pool: which task runs where, under leases and a fencing token.
 
-Public: `belief` and `core` (what the leader believes, and what answers make of
-it), `vm` (one VM), `planner` (a round of decisions), `order` (who goes first),
-`place` (where to), `health` and `pacing` (sick VMs, filling tasks), `ticket`,
-`ledger` and `tidy` (what is written), `board` and `record` (rows), and with I/O
-`source`, `caller` and `task`.
+Public: `view` and `core` (the leader's view of its pool, and how answers of
+workers change it), `vm` (one VM), `planner` (one scheduling round), `priority`
+(order of the jobs), `placement` (choice of the VM), `demand` (processors that the
+pool needs), `health` and `pacing` (degraded VMs, filling tasks), `ticket`, `ledger`
+and `compaction` (rows to write), `status` and `record` (rows), `message` and
+`dependencies`, and with I/O `source`, `dispatcher` and `runner`.
 """
 
 __all__ = [
-    "belief",
-    "board",
-    "caller",
+    "compaction",
     "core",
+    "demand",
+    "dependencies",
+    "dispatcher",
     "health",
     "ledger",
-    "order",
+    "message",
     "pacing",
-    "place",
+    "placement",
     "planner",
+    "priority",
     "record",
+    "runner",
     "source",
-    "surroundings",
-    "task",
+    "status",
     "ticket",
-    "tidy",
+    "view",
     "vm",
 ]
--- a/wigeonhitch/pool/tidy.py
+++ b/wigeonhitch/pool/compaction.py
@@ -13,13 +13,13 @@
 from wigeonhitch.platform import rows, table
 from wigeonhitch.pool import record as pool_record
 
-__all__ = ["JobPlace", "Tidier"]
+__all__ = ["Compactor", "RowLocation"]
 
 ROWS_A_CALL = 20
 """Rows in one transaction."""
 
 
-class JobPlace(NamedTuple):
+class RowLocation(NamedTuple):
     """Table and part in which a job's row lies."""
 
     table: str
@@ -27,14 +27,14 @@
 
 
 class _Final(NamedTuple):
-    place: JobPlace
+    place: RowLocation
     state: model.JobState
     version: int
     noted_at: int
 
 
 class _Kept(NamedTuple):
-    place: JobPlace
+    place: RowLocation
     version: int
     finished: float
 
@@ -47,7 +47,7 @@
     removes: bool
 
 
-class Tidier:
+class Compactor:
     """Final jobs of one pool whose rows are still to be tidied.
 
     Parameters
@@ -66,7 +66,7 @@
     def add(
         self,
         id: str,
-        place: JobPlace,
+        place: RowLocation,
         state: model.JobState,
         version: int,
         noted_at: int = 0,
@@ -75,7 +75,7 @@
         self._finals[id] = _Final(place, state, version, noted_at)
 
     def on_final_row(
-        self, id: str, place: JobPlace, version: int, finished: float
+        self, id: str, place: RowLocation, version: int, finished: float
     ) -> None:
         """Take a row that has been shrunk."""
         self._kept[id] = _Kept(place, version, finished)
@@ -147,7 +147,7 @@
         final = self._finals.get(row.key)
         if final is not None:
             is_cancelled = row.value is not None and record.is_cancelled(row.value)
-            state = progress.choose_final(
+            state = progress.resolve_final_state(
                 final.state, final.noted_at, row.version if is_cancelled else 0
             )
             self._finals[row.key] = final._replace(state=state, version=row.version)
--- a/wigeonhitch/pool/core.py
+++ b/wigeonhitch/pool/core.py
@@ -16,7 +16,7 @@
 
 from wigeonhitch.jobs import model, progress
 from wigeonhitch.platform import advice, workers
-from wigeonhitch.pool import belief, order, vm
+from wigeonhitch.pool import priority, view, vm
 
 __all__ = ["Pool"]
 
@@ -38,7 +38,7 @@
 are on their way for up to 0.25 s on a slow link."""
 
 
-class Pool(belief.Belief):
+class Pool(view.PoolView):
     """Belief of one leader, and what workers' answers make of it."""
 
     def on_hold(self, one: vm.Vm, reply: workers.HoldReply, now: float) -> None:
@@ -60,9 +60,9 @@
             one.note_grant(reply.clock + self.times.longest_lease)
             self.tell("VM answers", vm=one.id, running=len(reply.running))
         for end in reply.ended:
-            if end.number > one.seen:
+            if end.number > one.processed_end:
                 self._apply_end(one, end, now)
-                one.seen = end.number
+                one.processed_end = end.number
         if len(reply.ended) < ENDS_A_REPLY:
             self._reconcile(one, reply, now)
             # Only now it is known what runs there, and what has ended.
@@ -79,7 +79,7 @@
             self._confirm(run, now)
         elif verdict is workers.Verdict.UNKNOWN:
             run.state = vm.RunState.UNKNOWN
-            self.tell("start without an answer", **belief.describe(run))
+            self.tell("start without an answer", **view.describe(run))
         elif verdict is workers.Verdict.FENCED:
             self._depose(run.vm)
         elif verdict is workers.Verdict.GONE:
@@ -114,7 +114,7 @@
             run.vm.last_answer = 0.0
         if verdict is workers.Verdict.BAD_TICKET:
             self.tickets.drop(advice.StepName(*run.task[:3]))
-        self.tell("start refused", reason=verdict.value, **belief.describe(run))
+        self.tell("start refused", reason=verdict.value, **view.describe(run))
 
     def _depose(self, one: vm.Vm) -> None:
         if not self.deposed:
@@ -182,7 +182,7 @@
         queue = self.queues.get(state.job.queue)
         if queue is None:
             return 0.0
-        return round(order.compute_due(state.job, queue, 0.0), 3)
+        return round(priority.compute_due(state.job, queue, 0.0), 3)
 
     def _reconcile(self, one: vm.Vm, reply: workers.HoldReply, now: float) -> None:
         listed = {(entry.task, entry.run): entry for entry in reply.running}
@@ -192,10 +192,10 @@
                 self._see_running(run, entry, now)
             elif run.state in (vm.RunState.STARTING, vm.RunState.UNKNOWN):
                 if reply.clock > run.deadline:
-                    self.tell("start has not happened", **belief.describe(run))
+                    self.tell("start has not happened", **view.describe(run))
                     self.remove(run)
             elif run.since < reply.sent:
-                self.tell("run not listed any more", **belief.describe(run))
+                self.tell("run not listed any more", **view.describe(run))
                 self.remove(run)
         strays = [e for e in listed.values() if not self._adopt(one, e, now)]
         for entry in strays:
--- a/wigeonhitch/pool/need.py
+++ b/wigeonhitch/pool/demand.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from wigeonhitch.pool import order
+from wigeonhitch.pool import priority
 
-__all__ = ["Arrivals", "Need", "compute_need"]
+__all__ = ["Arrivals", "Demand", "compute_demand"]
 
 
 class Window(NamedTuple):
@@ -42,15 +42,15 @@
 """Seconds beyond a move's own until its VM takes tasks: board, order and first call."""
 
 
-class Need(NamedTuple):
+class Demand(NamedTuple):
     """Thousandths of a core that batch work in time can use.
 
     ``wanted`` lets all run at once, ``least`` lets all be just in time, and
     ``arriving`` keeps up with what is handed in now; both hold at least that.
     """
 
-    wanted: int
-    least: int
+    peak: int
+    minimum: int
     arriving: int
 
 
@@ -97,9 +97,9 @@
         return sum(found) / window.seconds
 
 
-def compute_need(
-    figures: Iterable[order.Figures], arriving: float, wall: float
-) -> Need:
+def compute_demand(
+    figures: Iterable[priority.Figures], arriving: float, wall: float
+) -> Demand:
     """Return what a pool's batch work needs.
 
     Parameters
@@ -118,4 +118,4 @@
         wanted += one.work_left / one.chain_left
         least += one.work_left / (one.due - wall)
     wanted, least = max(wanted, arriving), max(least, arriving)
-    return Need(round(1000 * wanted), round(1000 * least), round(1000 * arriving))
+    return Demand(round(1000 * wanted), round(1000 * least), round(1000 * arriving))
--- a/wigeonhitch/pool/surroundings.py
+++ b/wigeonhitch/pool/dependencies.py
@@ -4,13 +4,13 @@
 from typing import NamedTuple
 
 from wigeonhitch.platform import advice, rows, workers
-from wigeonhitch.pool import belief
+from wigeonhitch.pool import view
 from wigeonhitch.telemetry import metric
 
-__all__ = ["Surroundings"]
+__all__ = ["Dependencies"]
 
 
-class Surroundings(NamedTuple):
+class Dependencies(NamedTuple):
     """What a leader works with.
 
     ``may_order`` says whether an order may be given at this moment;
@@ -26,4 +26,4 @@
     get_renewed: Callable[[], float]
     get_store_time: Callable[[], float]
     finals_kept: float
-    times: belief.Times
+    times: view.TimeBounds
--- a/wigeonhitch/pool/caller.py
+++ b/wigeonhitch/pool/dispatcher.py
@@ -5,9 +5,9 @@
 import anyio
 
 from wigeonhitch.platform import http, workers
-from wigeonhitch.pool import core, message, surroundings, vm
+from wigeonhitch.pool import core, dependencies, message, vm
 
-__all__ = ["LONG_LEASE", "START_DEADLINE", "WORKER_LEASE", "Caller"]
+__all__ = ["OUTAGE_LEASE", "START_DEADLINE", "WORKER_LEASE", "Dispatcher"]
 
 WORKER_LEASE = 3.8
 """Seconds for which a worker keeps its tasks without a renewal. Longer than a
@@ -15,7 +15,7 @@
 calls), so that work goes on when a leader dies; what ran on a silent VM starts
 elsewhere after it."""
 
-LONG_LEASE = 6.5
+OUTAGE_LEASE = 6.5
 """The same while the store doesn't answer this daemon: outages last 3 to 9 s,
 and a leader that can't renew its own lease may soon not renew the workers'.
 With the 2 s that its own lease still lasts, work survives 8.5 s. A successor
@@ -47,14 +47,14 @@
 """Seconds between tries of a call that failed."""
 
 
-class Caller:
+class Dispatcher:
     """Carries out a leader's orders and keeps its VMs' leases.
 
     Parameters
     ----------
     pool : core.Pool
         Takes the answers.
-    around : surroundings.Surroundings
+    around : dependencies.Dependencies
         The calls, and whether this daemon's own lease lasts.
     plan_paces : callable
         Returns the changes of pace to order after a VM's answer.
@@ -67,7 +67,7 @@
     def __init__(
         self,
         pool: core.Pool,
-        around: surroundings.Surroundings,
+        around: dependencies.Dependencies,
         plan_paces: Callable[[vm.Vm], list[message.Pace]],
         wake: Callable[[], None],
         wait_until_noted: Callable[[vm.Vm], Awaitable[None]],
@@ -82,15 +82,15 @@
         self.held: set[str] = set()
         """VMs that a task holds."""
 
-    def get_granted(self) -> float:
+    def compute_max_granted_lease(self) -> float:
         """Return the longest lease that a worker may still have.
 
         It may be of an earlier leader: one that handed over a moment ago may have
         granted more than this one.
         """
         now = http.read_clock()
-        recent = now - self._granted_long < LONG_LEASE
-        granted = LONG_LEASE if recent else WORKER_LEASE
+        recent = now - self._granted_long < OUTAGE_LEASE
+        granted = OUTAGE_LEASE if recent else WORKER_LEASE
         return max(granted, self._pool.compute_earlier_lease(now))
 
     def _may_order(self) -> bool:
@@ -183,7 +183,7 @@
         silence = now - self._around.get_renewed()
         lease = WORKER_LEASE
         if silence > STORE_SILENCE:
-            lease = LONG_LEASE
+            lease = OUTAGE_LEASE
             self._granted_long = now
         # A silent VM isn't given more time: it may hear what isn't answered, and
         # its tasks could never be taken for ended.
@@ -200,7 +200,7 @@
             entry.id,
             self._pool.fence,
             deadline,
-            one.noted,
+            one.committed_end,
             wait=wait,
             timeout=wait + CALL_SLACK,
         )
--- a/wigeonhitch/pool/ledger.py
+++ b/wigeonhitch/pool/ledger.py
@@ -5,8 +5,8 @@
 each row that it replaces: a write whose answer was lost may be applied seconds
 later, and must not put an older state over a newer one.
 
-An end counts only once it is committed: `Batch.seen` holds the numbers of ends
-that may be told to the workers after the commit.
+An end counts only once it is committed: `Batch.processed_ends` holds the numbers
+of ends that may be acknowledged to the workers after the commit.
 """
 
 from collections.abc import Iterable, Mapping
@@ -39,7 +39,7 @@
     vms: tuple[str, ...]
     removed_vms: tuple[str, ...]
     spent: tuple[str, ...]
-    seen: dict[str, int]
+    processed_ends: dict[str, int]
 
 
 class Result(NamedTuple):
@@ -128,11 +128,19 @@
         for id in spent:
             builder.remove(pool_record.PROGRESS_TABLE, id, self.versions.get(id, 0))
         whole = len(chosen) == len(self._dirty)
-        seen = {one.id: one.seen for one in vms.values()} if whole else {}
+        processed_ends = (
+            {one.id: one.processed_end for one in vms.values()} if whole else {}
+        )
         for id in chosen:
             del self._dirty[id]
         return Batch(
-            builder.build(), tuple(chosen), tuple(finals), added, removed, spent, seen
+            builder.build(),
+            tuple(chosen),
+            tuple(finals),
+            added,
+            removed,
+            spent,
+            processed_ends,
         )
 
     def on_result(self, batch: Batch, change: rows.Change) -> Result:
--- a/wigeonhitch/pool/place.py
+++ b/wigeonhitch/pool/placement.py
@@ -10,10 +10,10 @@
 from wigeonhitch.jobs import model
 from wigeonhitch.pool import vm
 
-__all__ = ["Table"]
+__all__ = ["Placer"]
 
 
-class Table:
+class Placer:
     """Free room of the open VMs while one round of placement is made."""
 
     def __init__(self, vms: Iterable[vm.Vm], now: float) -> None:
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -12,14 +12,14 @@
 from wigeonhitch.jobs import model, progress
 from wigeonhitch.platform import advice, workers
 from wigeonhitch.pool import (
-    board,
     core,
+    demand,
     health,
     message,
-    need,
-    order,
     pacing,
-    place,
+    placement,
+    priority,
+    status,
     vm,
 )
 from wigeonhitch.pool import record as pool_record
@@ -49,11 +49,11 @@
         self.pool = pool
         self.unmet = 0
         """Thousandths of a core that jobs in time ask for and don't get."""
-        self._arrivals = need.Arrivals(pool.times.move)
+        self._arrivals = demand.Arrivals(pool.times.move_seconds)
         self._shown_room = 0
         self._open: dict[str, list[model.Task]] = {}
         self._next_due: dict[str, float] = {}
-        self._figures: dict[str, order.Figures] = {}
+        self._figures: dict[str, priority.Figures] = {}
         self._next_scan = 0.0
         self._lacking = 0
         """VMs that lasting tasks lack to be apart."""
@@ -77,7 +77,7 @@
         self.pool.handed_in.clear()
         self._refresh(wall)
         orders: list[message.Start | message.Stop] = self._stop_strays(now)
-        table = place.Table(self.pool.vms.values(), now)
+        table = placement.Placer(self.pool.vms.values(), now)
         orders.extend(self._plan_stops(table, now))
         orders.extend(self._plan_starts(table, now, wall))
         return orders
@@ -98,17 +98,17 @@
         """Whether more is handed in than the VMs last shown keep up with."""
         return 1000 * self._arrivals.compute_rate(now) > self._shown_room
 
-    def make_board(self, now: float, wall: float) -> pool_record.Board:
+    def build_status(self, now: float, wall: float) -> pool_record.PoolStatus:
         """Return what other daemons are shown."""
         arriving = self._arrivals.compute_rate(now)
-        needed = need.compute_need(self._figures.values(), arriving, wall)
-        made = board.make_board(self.pool, self.unmet, needed)
-        self._shown_room = made.room
+        needed = demand.compute_demand(self._figures.values(), arriving, wall)
+        made = status.build_status(self.pool, self.unmet, needed)
+        self._shown_room = made.batch_capacity
         return made
 
     def count_empty(self) -> int:
         """Return how many VMs that are to be vacated hold nothing any more."""
-        return len(board.list_empty(self.pool))
+        return len(status.list_empty(self.pool))
 
     # -- open tasks
 
@@ -148,7 +148,7 @@
 
     # -- stops
 
-    def _plan_stops(self, table: place.Table, now: float) -> list[message.Stop]:
+    def _plan_stops(self, table: placement.Placer, now: float) -> list[message.Stop]:
         if now < self._next_scan and not self.pool.must_scan:
             return []
         self.pool.must_scan = False
@@ -168,7 +168,7 @@
                 stops.append(self._stop(run, now))
         return stops
 
-    def _is_sick(self, run: vm.Run, table: place.Table, now: float) -> bool:
+    def _is_sick(self, run: vm.Run, table: placement.Placer, now: float) -> bool:
         """Whether a run is to begin again elsewhere for its VM's sake."""
         if run.task in self.pool.moved:
             return False
@@ -207,7 +207,7 @@
         run.stop_sent = now
         return message.Stop(run.vm, run.task, run.number)
 
-    def _must_vacate(self, run: vm.Run, table: place.Table) -> bool:
+    def _must_vacate(self, run: vm.Run, table: placement.Placer) -> bool:
         """Whether a lasting run is to be moved off a VM that goes away.
 
         No more of its step may be away than it may miss, whatever the cause,
@@ -227,7 +227,7 @@
     # -- starts
 
     def _plan_starts(
-        self, table: place.Table, now: float, wall: float
+        self, table: placement.Placer, now: float, wall: float
     ) -> list[message.Start]:
         starts: list[message.Start] = []
         self.unmet = 0
@@ -241,7 +241,7 @@
             if self.pool.may_have_run(state):
                 continue
             left = self._place_job(table, state, now, starts)
-            if key.group <= order.IN_TIME:
+            if key.group <= priority.IN_TIME:
                 self.unmet += left
         self.unmet = max(self.unmet, self._lacking * self._find_size())
         return starts
@@ -254,14 +254,14 @@
         """Whether no run of a task is known, be it ours or one being stopped."""
         return task not in self.pool.live and task not in self._listed_elsewhere
 
-    def _get_key(self, id: str, wall: float) -> order.Key:
+    def _get_key(self, id: str, wall: float) -> priority.Key:
         queue = self.pool.jobs[id].job.queue
         mean_work = self.pool.get_mean_work(queue)
-        return order.compute_key(self._figures[id], wall, mean_work)
+        return priority.compute_key(self._figures[id], wall, mean_work)
 
     def _place_job(
         self,
-        table: place.Table,
+        table: placement.Placer,
         state: progress.Progress,
         now: float,
         starts: list[message.Start],
@@ -309,7 +309,7 @@
 
     def _place_task(
         self,
-        table: place.Table,
+        table: placement.Placer,
         state: progress.Progress,
         task: model.Task,
         now: float,
@@ -335,7 +335,7 @@
 
     def _place_gang(
         self,
-        table: place.Table,
+        table: placement.Placer,
         state: progress.Progress,
         first: model.Task,
         now: float,
@@ -379,7 +379,7 @@
 
 
 def _choose_all(
-    table: place.Table,
+    table: placement.Placer,
     tasks: list[model.Task],
     step: model.Step,
     rack: str,
--- a/wigeonhitch/pool/record.py
+++ b/wigeonhitch/pool/record.py
@@ -6,25 +6,25 @@
 import orjson
 
 __all__ = [
-    "BOARD_TABLE",
+    "STATUS_TABLE",
     "HOLDER_TABLE",
     "JOB_TABLE",
     "PROGRESS_TABLE",
     "ROSTER_TABLE",
-    "Board",
+    "PoolStatus",
     "list_job_parts",
-    "name_job_part",
-    "name_job_table",
-    "read_board",
+    "get_job_part",
+    "get_job_table",
+    "read_status",
     "read_roster",
-    "write_board",
+    "write_status",
     "write_roster",
 ]
 
 JOB_TABLE = "job"
 PROGRESS_TABLE = "progress"
 ROSTER_TABLE = "roster"
-BOARD_TABLE = "board"
+STATUS_TABLE = "board"
 HOLDER_TABLE = "holder"
 """Rows beside those of jobs: the pool that accepted a job, of all pools."""
 
@@ -38,12 +38,12 @@
 for each, a burst of 100 jobs a second needs 26 parts that are filled evenly."""
 
 
-def name_job_table(pool: str) -> str:
+def get_job_table(pool: str) -> str:
     """Return the table in which a pool's jobs lie."""
     return f"{JOB_TABLE}{zlib.crc32(pool.encode()) % JOB_TABLES:02}"
 
 
-def name_job_part(id: str) -> str:
+def get_job_part(id: str) -> str:
     """Return the part in which a job lies, whichever pool holds it.
 
     So one transaction within a part can tell that no pool has a job.
@@ -56,7 +56,7 @@
     return [f"~job.{number}" for number in range(JOB_PARTS)]
 
 
-class Board(NamedTuple):
+class PoolStatus(NamedTuple):
     """What the leader shows to other daemons.
 
     ``waiting`` counts jobs without a started task by queue; ``unmet`` and
@@ -73,13 +73,13 @@
     """Open VMs without lasting tasks, which could go to another pool."""
     bare: tuple[str, ...] = ()
     """Those of them that run nothing at all."""
-    wanted: int = 0
+    peak_demand: int = 0
     """Thousandths of a core that batch work in time could use at once."""
-    least: int = 0
+    min_demand: int = 0
     """The same for it to be just in time."""
-    room: int = 0
+    batch_capacity: int = 0
     """What the pool's open VMs have for batch work."""
-    arriving: int = 0
+    arriving_demand: int = 0
     """What would keep up with the jobs that are handed in now."""
     closings: int = 0
     """The store's version at which the leader knew which VMs are to be vacated;
@@ -96,11 +96,16 @@
     return orjson.loads(value)["address"]
 
 
-def write_board(board: Board) -> bytes:
+def write_status(board: PoolStatus) -> bytes:
     """Return a board row."""
     row: dict[str, Any] = {"waiting": board.waiting, "unmet": board.unmet}
     row["idle"] = board.idle
-    row["need"] = [board.wanted, board.least, board.room, board.arriving]
+    row["need"] = [
+        board.peak_demand,
+        board.min_demand,
+        board.batch_capacity,
+        board.arriving_demand,
+    ]
     if board.empty:
         row["empty"] = list(board.empty)
         row["closings"] = board.closings
@@ -111,12 +116,14 @@
     return orjson.dumps(row)
 
 
-def read_board(value: bytes) -> Board:
+def read_status(value: bytes) -> PoolStatus:
     """Read a board row."""
     row = orjson.loads(value)
     empty = tuple(row.get("empty", ()))
     light = tuple(row.get("light", ()))
     bare = tuple(row.get("bare", ()))
     figures = (row.get("unmet", 0), row.get("idle", 0))
-    board = Board(row["waiting"], *figures, empty, light, bare, *row.get("need", ()))
+    board = PoolStatus(
+        row["waiting"], *figures, empty, light, bare, *row.get("need", ())
+    )
     return board._replace(closings=row.get("closings", 0))
--- a/wigeonhitch/pool/task.py
+++ b/wigeonhitch/pool/runner.py
@@ -11,12 +11,12 @@
 from wigeonhitch.maintenance import record as maintenance
 from wigeonhitch.platform import entries, http, rows, table
 from wigeonhitch.pool import (
-    caller,
     core,
+    dependencies,
+    dispatcher,
     message,
     planner,
     source,
-    surroundings,
     ticket,
     vm,
 )
@@ -38,11 +38,11 @@
 RETRY = 0.1
 """Seconds between tries of a call that failed."""
 
-ROUND_GAP = 0.008
+MIN_ROUND_INTERVAL = 0.008
 """Seconds between two rounds of decisions at least: ends and jobs that come
 together are decided together, and a tenth of a second a step isn't felt."""
 
-ROUND_MOST = 0.25
+MAX_ROUND_INTERVAL = 0.25
 """Seconds between two rounds at most: lapses and due times are found by time."""
 
 NOTED_WAIT = 0.6
@@ -69,7 +69,7 @@
     def __init__(
         self,
         owner: leader_record.Owner,
-        around: surroundings.Surroundings,
+        around: dependencies.Dependencies,
         now: float,
     ) -> None:
         self.owner = owner
@@ -89,7 +89,7 @@
         self._commits = log.Dependency("commit of ends")
         self._is_store_quick = True
         self._source = source.Source(self.pool, around.store, self._wake)
-        self._caller = caller.Caller(
+        self._caller = dispatcher.Dispatcher(
             self.pool,
             around,
             self.planner.plan_paces,
@@ -118,9 +118,9 @@
         """Take the workers to be vacated or ended, as known at a store's version."""
         self._source.take_closings(closed, version)
 
-    def get_granted(self) -> float:
+    def compute_max_granted_lease(self) -> float:
         """Return the longest lease that a worker may still have of this leader."""
-        return self._caller.get_granted()
+        return self._caller.compute_max_granted_lease()
 
     def stop(self) -> None:
         """Give up leading; nothing is ordered afterwards."""
@@ -151,8 +151,8 @@
                 self._decide(group)
             if self.pool.ledger.has_work:
                 self._wake_commit.set()
-            await anyio.sleep(ROUND_GAP)
-            with anyio.move_on_after(ROUND_MOST):
+            await anyio.sleep(MIN_ROUND_INTERVAL)
+            with anyio.move_on_after(MAX_ROUND_INTERVAL):
                 await self._wake_round.wait()
 
     def _decide(self, group: anyio.abc.TaskGroup) -> None:
@@ -199,7 +199,7 @@
     async def _wait_until_noted(self, one: vm.Vm) -> None:
         """Wait for the commit of seen ends, but not beyond the next renewal."""
         with anyio.move_on_after(NOTED_WAIT):
-            while one.noted < one.seen:
+            while one.committed_end < one.processed_end:
                 self._wake_commit.set()
                 await self._noted.wait()
 
@@ -218,7 +218,7 @@
     async def _commit_once(self) -> bool:
         batch = self.pool.ledger.collect(self.pool.jobs, self.pool.vms)
         if not batch.transaction.writes:
-            self._note(batch.seen)
+            self._note(batch.processed_ends)
             return True
         change = await self.around.store.commit(
             batch.transaction, timeout=COMMIT_TIMEOUT
@@ -242,7 +242,7 @@
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
         self.pool.on_settled(batch.finals)
-        self._note(batch.seen)
+        self._note(batch.processed_ends)
         if batch.vms or batch.finals:
             self._wake()
         return True
@@ -251,7 +251,7 @@
         for id, number in seen.items():
             one = self.pool.vms.get(id)
             if one is not None:
-                one.noted = max(one.noted, number)
+                one.committed_end = max(one.committed_end, number)
         self._noted.set()
         self._noted = anyio.Event()
 
@@ -273,14 +273,14 @@
     async def _show_board(self) -> None:
         shown = None
         while True:
-            board = self.planner.make_board(http.read_clock(), time.time())
+            board = self.planner.build_status(http.read_clock(), time.time())
             if board != shown and self.around.may_order():
                 owner = leader_record.expect_owner(self.owner.pool, self.owner.version)
                 write = rows.Write(
-                    pool_record.BOARD_TABLE,
+                    pool_record.STATUS_TABLE,
                     self.owner.pool,
-                    pool_record.BOARD_TABLE,
-                    pool_record.write_board(board),
+                    pool_record.STATUS_TABLE,
+                    pool_record.write_status(board),
                 )
                 change = await self.around.store.commit(
                     rows.Transaction((owner,), (write,)), timeout=COMMIT_TIMEOUT
--- a/wigeonhitch/pool/source.py
+++ b/wigeonhitch/pool/source.py
@@ -8,7 +8,7 @@
 from wigeonhitch.leadership import core as leadership
 from wigeonhitch.maintenance import record as maintenance
 from wigeonhitch.platform import http, rows, table
-from wigeonhitch.pool import core, tidy
+from wigeonhitch.pool import compaction, core
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.telemetry import log
 
@@ -47,7 +47,7 @@
         self._store = store
         self._wake = wake
         self._tell = pool.tell
-        self._job_table = pool_record.name_job_table(pool.name)
+        self._job_table = pool_record.get_job_table(pool.name)
         self._unread: set[str] = set()
         """Jobs whose rows can't be read; what is noted of them is left."""
         self._job_parts = frozenset(pool_record.list_job_parts())
@@ -127,7 +127,7 @@
             return  # the table holds jobs of other pools too
         if row.key not in self._pool.jobs and read.job is not None:
             self._tell("job taken over", job=row.key, version=row.version)
-        place = tidy.JobPlace(row.table, row.part)
+        place = compaction.RowLocation(row.table, row.part)
         self._pool.on_job(row.key, read, row.version, place)
 
     async def follow(self, after: int) -> None:
--- a/wigeonhitch/pool/board.py
+++ b/wigeonhitch/pool/status.py
@@ -1,15 +1,17 @@
 """What a pool's leader shows of it to other daemons."""
 
 from wigeonhitch.jobs import model
-from wigeonhitch.pool import belief, need, record, vm
+from wigeonhitch.pool import demand, record, view, vm
 
-__all__ = ["list_empty", "make_board"]
+__all__ = ["build_status", "list_empty"]
 
 BOARD_STEP = 4000
 """Thousandths of a core by which the board's figures go: an eighth of a VM."""
 
 
-def make_board(pool: belief.Belief, unmet: int, needed: need.Need) -> record.Board:
+def build_status(
+    pool: view.PoolView, unmet: int, needed: demand.Demand
+) -> record.PoolStatus:
     """Return the board; ``unmet`` in thousandths of a core."""
     idle = sum(
         one.compute_free().cpu
@@ -19,22 +21,22 @@
     empty = tuple(sorted(one.id for one in list_empty(pool)))
     light = [one for one in pool.vms.values() if _is_light(one)]
     # In whole steps, so that the row isn't written for each small change.
-    return record.Board(
+    return record.PoolStatus(
         _count_waiting(pool),
         _round(unmet),
         _round(idle),
         empty,
         tuple(one.id for one in sorted(light, key=_rank_light)),
         tuple(sorted(one.id for one in light if not one.runs)),
-        _round(needed.wanted),
-        _round(needed.least),
+        _round(needed.peak),
+        _round(needed.minimum),
         _round(compute_batch_room(pool)),
         _round(needed.arriving),
         pool.closings_version if empty else 0,
     )
 
 
-def compute_batch_room(pool: belief.Belief) -> int:
+def compute_batch_room(pool: view.PoolView) -> int:
     """Return what the open VMs have for batch work, thousandths of a core."""
     room = 0
     for one in pool.vms.values():
@@ -52,7 +54,7 @@
     return figure - figure % BOARD_STEP
 
 
-def list_empty(pool: belief.Belief) -> list[vm.Vm]:
+def list_empty(pool: view.PoolView) -> list[vm.Vm]:
     """Return the VMs that are to be vacated and hold nothing any more."""
     return [
         one
@@ -61,7 +63,7 @@
     ]
 
 
-def _count_waiting(pool: belief.Belief) -> dict[str, int]:
+def _count_waiting(pool: view.PoolView) -> dict[str, int]:
     """Return by queue the jobs of which no task has started."""
     waiting: dict[str, int] = {}
     for state in pool.jobs.values():
--- a/wigeonhitch/pool/tests/conftest.py
+++ b/wigeonhitch/pool/tests/conftest.py
@@ -4,11 +4,11 @@
 
 from wigeonhitch.jobs import model, progress, record
 from wigeonhitch.platform import entries, workers
-from wigeonhitch.pool import belief, core, planner, tidy
+from wigeonhitch.pool import compaction, core, planner, view
 
 NOW = 100.0
 CLOCK = 5000.0
-PLACE = tidy.JobPlace("job00", "p.0")
+PLACE = compaction.RowLocation("job00", "p.0")
 """The workers' clocks at `NOW`."""
 
 
@@ -21,7 +21,7 @@
             "p",
             fence,
             epoch,
-            belief.Times(6.5, 0.2),
+            view.TimeBounds(6.5, 0.2),
             NOW,
             lambda what, **fields: self.told.append(what),
         )
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -15,7 +15,7 @@
 from wigeonhitch.jobs import model, record
 from wigeonhitch.leadership import record as leader_record
 from wigeonhitch.platform import entries, rows, table, workers
-from wigeonhitch.pool import belief, caller, core, message, planner, tidy
+from wigeonhitch.pool import compaction, core, dispatcher, message, planner, view
 from wigeonhitch.pool import record as pool_record
 
 POOL = "pool"
@@ -23,8 +23,8 @@
 ROOM = model.Room(8000, 65536, 0)
 STEP_CPU = (2500, 3000)
 """Thousandths of a core that a task of each step takes."""
-PLACE = tidy.JobPlace("job", POOL)
-START_DEADLINE = caller.START_DEADLINE
+PLACE = compaction.RowLocation("job", POOL)
+START_DEADLINE = dispatcher.START_DEADLINE
 
 
 class Switches(NamedTuple):
@@ -92,8 +92,8 @@
             fence = 1
         if not world.switches.rising_numbers:
             epoch = 1
-        longest = caller.LONG_LEASE if world.switches.wait_after_takeover else 0.0
-        times = belief.Times(longest, 0.0)
+        longest = dispatcher.OUTAGE_LEASE if world.switches.wait_after_takeover else 0.0
+        times = view.TimeBounds(longest, 0.0)
         self.pool = core.Pool(POOL, fence, epoch, times, world.now, lambda *a, **k: 0)
         self.pool.ledger.fence = done.version
         self.pool.on_queues([model.Queue("q", "h", "/p/", POOL, max_attempts=3)])
@@ -160,10 +160,14 @@
         now = self.world.now
         deadline = None
         if one.knows_clock and not one.is_silent:
-            deadline = one.compute_deadline(now, caller.WORKER_LEASE)
+            deadline = one.compute_deadline(now, dispatcher.WORKER_LEASE)
             one.note_grant(deadline)
         self.next_hold[one.id] = now + 1.0
-        noted = one.noted if self.world.switches.commit_before_noting else one.seen
+        noted = (
+            one.committed_end
+            if self.world.switches.commit_before_noting
+            else one.processed_end
+        )
         self.world.send_hold(self, one, deadline, noted)
 
     def _commit(self) -> None:
@@ -171,7 +175,7 @@
             return
         batch = self.pool.ledger.collect(self.pool.jobs, self.pool.vms)
         if not batch.transaction.writes:
-            self._note(batch.seen)
+            self._note(batch.processed_ends)
             return
         self.committing = True
         self.world.send_commit(self, batch)
@@ -187,12 +191,12 @@
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
         self.pool.on_settled(batch.finals)
-        self._note(batch.seen)
+        self._note(batch.processed_ends)
 
     def _note(self, seen: dict[str, int]) -> None:
         for id, number in seen.items():
             if id in self.pool.vms:
-                self.pool.vms[id].noted = number
+                self.pool.vms[id].committed_end = number
 
 
 class World:
--- a/wigeonhitch/pool/tests/test_tidy.py
+++ b/wigeonhitch/pool/tests/test_compaction.py
@@ -4,18 +4,18 @@
 
 from wigeonhitch.jobs import model, record
 from wigeonhitch.platform import rows, table
+from wigeonhitch.pool import compaction
 from wigeonhitch.pool import record as pool_record
-from wigeonhitch.pool import tidy
 
-PLACE = tidy.JobPlace("job00", "p.0")
-OTHER = tidy.JobPlace("job00", "p.1")
+PLACE = compaction.RowLocation("job00", "p.0")
+OTHER = compaction.RowLocation("job00", "p.1")
 DONE = rows.Change(table.Outcome.DONE, 9)
 KEPT = 120.0
 
 
 @pytest.fixture
 def tidier():
-    made = tidy.Tidier("p")
+    made = compaction.Compactor("p")
     made.add("a", PLACE, model.JobState.COMPLETED, 3)
     made.add("b", OTHER, model.JobState.FAILED, 4)
     return made
@@ -38,7 +38,7 @@
 def test_a_job_that_was_cancelled_before_its_end_was_noted_stays_cancelled(
     noted, state
 ):
-    tidier = tidy.Tidier("p")
+    tidier = compaction.Compactor("p")
     tidier.add("a", PLACE, model.JobState.COMPLETED, 3, noted)
     work = tidier.collect(50.0, KEPT)
     job = model.Job("a", "q", "", (model.Step(1),))
@@ -70,7 +70,7 @@
 
 
 def test_a_shrunk_row_is_removed_after_it_was_kept_long_enough():
-    tidier = tidy.Tidier("p")
+    tidier = compaction.Compactor("p")
     tidier.on_final_row("a", PLACE, 7, 10.0)
 
     assert tidier.collect(129.0, KEPT) is None
@@ -86,7 +86,7 @@
 
 def test_a_removal_that_was_done_without_an_answer_holds_nothing_up():
     """The row is gone, so the answer to the next try can't list it."""
-    tidier = tidy.Tidier("p")
+    tidier = compaction.Compactor("p")
     tidier.on_final_row("a", PLACE, 7, 10.0)
     tidier.on_final_row("b", PLACE, 8, 11.0)
     tidier.on_result(tidier.collect(200.0, KEPT), rows.Change(table.Outcome.UNKNOWN))
--- a/wigeonhitch/pool/tests/test_core.py
+++ b/wigeonhitch/pool/tests/test_core.py
@@ -4,11 +4,11 @@
 
 from wigeonhitch.jobs import model, record
 from wigeonhitch.platform import rows, table, workers
-from wigeonhitch.pool import belief, core, tidy, vm
+from wigeonhitch.pool import compaction, core, view, vm
 
 NOW = 100.0
 CLOCK = 5000.0
-PLACE = tidy.JobPlace("job00", "p.0")
+PLACE = compaction.RowLocation("job00", "p.0")
 
 
 def lose_answer(bench, run, now=NOW):
@@ -145,7 +145,7 @@
     one.is_silent = True
     bench.add_vm("w2")
 
-    lapse = 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + belief.LAPSE_MARGIN
+    lapse = 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
     assert bench.plan(NOW + lapse - 0.1) == []
     assert one.runs
 
@@ -175,7 +175,7 @@
 
     assert [order.run.task.job for order in bench.plan()] == ["new"]
 
-    waited = 6.5 * (1 + vm.CLOCK_DRIFT) + 0.2 + belief.LAPSE_MARGIN + 0.01
+    waited = 6.5 * (1 + vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.01
     bench.pool.vms["w1"].last_answer = NOW + waited
     assert [o.run.task.job for o in bench.plan(NOW + waited)] == ["old"]
 
@@ -250,7 +250,7 @@
 
     bench.answer(one, ended=[ended(1, run)], now=NOW + 1)
 
-    assert (one.seen, one.noted) == (1, 0)
+    assert (one.processed_end, one.committed_end) == (1, 0)
 
 
 def test_a_job_fails_when_one_task_has_failed_too_often(bench, ended):
@@ -369,7 +369,7 @@
     """Answer with as many ends as one answer holds, so that more may be missing."""
     other = model.Task("other", 0, 0, 0)
     ends = [
-        workers.Ended(one.seen + number, other, 0, model.End.DONE, "")
+        workers.Ended(one.processed_end + number, other, 0, model.End.DONE, "")
         for number in range(1, core.ENDS_A_REPLY + 1)
     ]
     bench.answer(one, ended=ends, now=now)
@@ -381,7 +381,7 @@
 
     tell_ends(bench, one)
 
-    assert bench.planner.make_board(NOW, NOW).empty == ()
+    assert bench.planner.build_status(NOW, NOW).empty == ()
 
 
 def test_nothing_is_started_on_a_vm_that_has_not_listed_all_its_ends(bench):
@@ -402,7 +402,7 @@
     bench.add_job("old", version=5)
     tell_ends(bench, one, NOW + 6.0)
     one.is_silent = True
-    lapse = 6.0 + 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + belief.LAPSE_MARGIN
+    lapse = 6.0 + 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
     bench.pool.vms["w2"].last_answer = NOW + lapse
 
     assert bench.plan(NOW + lapse - 0.1) == []
@@ -431,7 +431,7 @@
     bench.pool.vms["w2"].last_answer = NOW + lapse
     assert bench.plan(NOW + lapse) == []
 
-    sure = lapse / (1 - vm.CLOCK_DRIFT) + 0.2 + belief.LAPSE_MARGIN + 0.1
+    sure = lapse / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.1
     bench.pool.vms["w2"].last_answer = NOW + sure
     assert [run.vm.id for run in bench.start(NOW + sure)] == ["w2"]
 
--- a/wigeonhitch/pool/tests/test_need.py
+++ b/wigeonhitch/pool/tests/test_demand.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wigeonhitch.jobs import model
-from wigeonhitch.pool import need
+from wigeonhitch.pool import demand
 
 NOW = 100.0
 SMALL = 27.0
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def arrivals():
-    return need.Arrivals()
+    return demand.Arrivals()
 
 
 def test_a_burst_of_small_jobs_shows_within_half_a_second(arrivals):
@@ -76,9 +76,9 @@
     bench.add_job("j", step)
     bench.plan()
 
-    board = bench.planner.make_board(NOW, NOW)
+    board = bench.planner.build_status(NOW, NOW)
 
-    assert (board.wanted, board.least) == (8000, 4000)
+    assert (board.peak_demand, board.min_demand) == (8000, 4000)
 
 
 def test_what_can_not_be_in_time_any_more_needs_no_vms(bench):
@@ -86,7 +86,7 @@
     bench.add_job("j", step, accepted=NOW - 10)
     bench.plan()
 
-    assert bench.planner.make_board(NOW, NOW).wanted == 0
+    assert bench.planner.build_status(NOW, NOW).peak_demand == 0
 
 
 def test_room_for_batch_work_leaves_out_lasting_tasks_and_vacated_vms(bench):
@@ -96,7 +96,7 @@
     bench.add_vm("w2", cpu=64000)
     bench.pool.set_closed(frozenset({"w2"}), frozenset())
 
-    assert bench.planner.make_board(NOW, NOW).room == 40000
+    assert bench.planner.build_status(NOW, NOW).batch_capacity == 40000
 
 
 RISING = (21, 46, 49, 69, 112, 96, 99, 68, 44, 20)
@@ -120,20 +120,20 @@
 
 def test_a_burst_that_rises_over_seconds_is_seen_before_it_exceeds_its_pool():
     """VMs that come 1.8 s after the look are there when the pool is full."""
-    by_rate = find_seen(need.Arrivals(), RISING)
-    by_rise = find_seen(need.Arrivals(1.5), RISING)
+    by_rate = find_seen(demand.Arrivals(), RISING)
+    by_rise = find_seen(demand.Arrivals(1.5), RISING)
 
     assert by_rate > 1.0
     assert by_rise < by_rate - 0.5
 
 
 def test_a_burst_that_falls_is_not_seen_as_more_than_it_is():
-    arrivals = need.Arrivals(1.5)
+    arrivals = demand.Arrivals(1.5)
     for second, count in enumerate((100, 60, 20)):
         hand_in(arrivals, count, JOB, 1.0, until=NOW + second)
 
     assert (
-        arrivals.compute_rate(NOW + 2) <= need.Arrivals().compute_rate(NOW) + 60 * JOB
+        arrivals.compute_rate(NOW + 2) <= demand.Arrivals().compute_rate(NOW) + 60 * JOB
     )
 
 
@@ -141,7 +141,7 @@
 def test_a_level_load_of_many_callers_is_mostly_no_rise(rate):
     """Jobs that come by chance: the forecast exceeds the rate in few looks."""
     rng = random.Random(rate)
-    arrivals, plain = need.Arrivals(1.5), need.Arrivals()
+    arrivals, plain = demand.Arrivals(1.5), demand.Arrivals()
     now, rises, looks = NOW, 0, 2000
     for _ in range(looks):
         now += rng.expovariate(rate)
--- a/wigeonhitch/pool/tests/test_caller.py
+++ b/wigeonhitch/pool/tests/test_dispatcher.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wigeonhitch.platform import http, workers
-from wigeonhitch.pool import belief, caller, core, surroundings, vm
+from wigeonhitch.pool import core, dependencies, dispatcher, view, vm
 from wigeonhitch.telemetry import metric
 
 GRACE = 0.2
@@ -25,9 +25,9 @@
     """Make the caller of a leader that takes over now."""
 
     def make(predecessors_lease):
-        times = belief.Times(predecessors_lease, GRACE)
+        times = view.TimeBounds(predecessors_lease, GRACE)
         pool = core.Pool("p", 10, 2, times, clock.now, lambda what, **fields: None)
-        return caller.Caller(pool, None, list, lambda: None, None)
+        return dispatcher.Dispatcher(pool, None, list, lambda: None, None)
 
     return make
 
@@ -43,25 +43,27 @@
     Cause: the figure told what this leader had granted, and was taken for all that
     may still last. It now holds the rest of what the one before granted.
     """
-    one = make_caller(caller.LONG_LEASE)
+    one = make_caller(dispatcher.OUTAGE_LEASE)
     clock.now += 0.3
 
-    assert one.get_granted() >= caller.LONG_LEASE - 0.3
+    assert one.compute_max_granted_lease() >= dispatcher.OUTAGE_LEASE - 0.3
 
 
 def test_an_earlier_lease_is_passed_on_by_the_slowest_clock(make_caller, clock):
-    one = make_caller(caller.LONG_LEASE)
+    one = make_caller(dispatcher.OUTAGE_LEASE)
     clock.now += 2.0
 
     passed = 2.0 * (1 - vm.CLOCK_DRIFT)
-    assert one.get_granted() == pytest.approx(caller.LONG_LEASE - passed)
+    assert one.compute_max_granted_lease() == pytest.approx(
+        dispatcher.OUTAGE_LEASE - passed
+    )
 
 
 def test_what_has_run_out_is_not_passed_on_again(make_caller, clock):
-    one = make_caller(caller.LONG_LEASE)
-    clock.now += caller.LONG_LEASE
+    one = make_caller(dispatcher.OUTAGE_LEASE)
+    clock.now += dispatcher.OUTAGE_LEASE
 
-    assert one.get_granted() == caller.WORKER_LEASE
+    assert one.compute_max_granted_lease() == dispatcher.WORKER_LEASE
 
 
 class Calls:
@@ -87,10 +89,10 @@
     of the successor. An order leaves only while nobody has deposed its leader.
     """
     calls = Calls()
-    around = surroundings.Surroundings(
+    around = dependencies.Dependencies(
         None, calls, None, metric.Instruments(), lambda: True, None, None, 60.0, None
     )
-    one = caller.Caller(bench.pool, around, list, lambda: None, None)
+    one = dispatcher.Dispatcher(bench.pool, around, list, lambda: None, None)
     bench.add_vm()
     bench.add_job()
     (start,) = bench.plan()
--- a/wigeonhitch/pool/tests/test_ledger.py
+++ b/wigeonhitch/pool/tests/test_ledger.py
@@ -124,10 +124,10 @@
         book.mark(f"j{number}")
 
     class Seen:
-        id, seen = "w1", 4
+        id, processed_end = "w1", 4
 
-    assert collect(book, jobs, {"w1": Seen}).seen == {}
-    assert collect(book, jobs, {"w1": Seen}).seen == {"w1": 4}
+    assert collect(book, jobs, {"w1": Seen}).processed_ends == {}
+    assert collect(book, jobs, {"w1": Seen}).processed_ends == {"w1": 4}
 
 
 def test_jobs_that_are_gone_are_not_waited_for(book):
--- a/wigeonhitch/pool/tests/test_planner.py
+++ b/wigeonhitch/pool/tests/test_planner.py
@@ -4,7 +4,7 @@
 
 from wigeonhitch.jobs import model
 from wigeonhitch.platform import workers
-from wigeonhitch.pool import belief, core, order, pacing, vm
+from wigeonhitch.pool import core, pacing, priority, view, vm
 
 NOW = 100.0
 
@@ -53,9 +53,9 @@
 
 
 def test_worth_is_bounded_by_four_times_the_mean():
-    assert order.compute_worth(1000.0, 1.0) == order.WORTH_MOST
-    assert order.compute_worth(0.0, 1.0) == order.BASE_WORTH
-    assert order.compute_worth(5.0, 0.0) == 1.0
+    assert priority.compute_worth(1000.0, 1.0) == priority.WORTH_MOST
+    assert priority.compute_worth(0.0, 1.0) == priority.BASE_WORTH
+    assert priority.compute_worth(5.0, 0.0) == 1.0
 
 
 def test_tasks_of_a_step_stay_apart_as_asked(bench):
@@ -169,7 +169,7 @@
     bench.add_job("j", step)
 
     assert len(bench.start()) == 3 * spread
-    assert bench.planner.make_board(NOW, NOW).unmet == vms * 8000
+    assert bench.planner.build_status(NOW, NOW).unmet == vms * 8000
 
 
 def test_a_task_is_moved_only_when_there_is_room_elsewhere(bench, listed):
@@ -187,10 +187,10 @@
     (run,) = bench.start()
     bench.answer(one, [listed(run, 10)])
     bench.pool.set_closed(frozenset({"w1"}), frozenset())
-    assert bench.planner.make_board(NOW, NOW).empty == ()
+    assert bench.planner.build_status(NOW, NOW).empty == ()
 
     bench.answer(one, ended=[ended(1, run)])
-    assert bench.planner.make_board(NOW, NOW).empty == ("w1",)
+    assert bench.planner.build_status(NOW, NOW).empty == ("w1",)
 
 
 def test_the_board_counts_jobs_that_have_not_begun(bench):
@@ -199,7 +199,7 @@
     bench.add_job("second")
     bench.start()
 
-    assert bench.planner.make_board(NOW, NOW).waiting == {"q": 1}
+    assert bench.planner.build_status(NOW, NOW).waiting == {"q": 1}
 
 
 def test_the_board_shows_what_jobs_in_time_miss(bench):
@@ -207,7 +207,7 @@
     bench.add_job("j", step(9, 1000))
     bench.plan()
 
-    assert bench.planner.make_board(NOW, NOW).unmet == 8000
+    assert bench.planner.build_status(NOW, NOW).unmet == 8000
 
 
 def test_vms_that_fail_all_are_set_aside_but_never_most_of_a_pool(bench):
@@ -356,7 +356,7 @@
 def test_a_silent_vm_holds_a_task_up_until_its_leases_are_over(bench):
     second = list_twice(bench)
     second.is_silent = True
-    lapse = 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + belief.LAPSE_MARGIN
+    lapse = 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
     bench.pool.vms["w3"].last_answer = NOW + lapse
 
     assert bench.start(NOW + lapse - 0.1) == []
--- a/wigeonhitch/pool/belief.py
+++ b/wigeonhitch/pool/view.py
@@ -5,9 +5,9 @@
 
 from wigeonhitch.jobs import model, progress, record
 from wigeonhitch.platform import entries
-from wigeonhitch.pool import ledger, order, ticket, tidy, vm
+from wigeonhitch.pool import compaction, ledger, priority, ticket, vm
 
-__all__ = ["Belief", "Times", "describe"]
+__all__ = ["PoolView", "TimeBounds", "describe"]
 
 RUNS_PER_LEADER = 1 << 20
 """Starts of one task that a leader may number before the next one's range."""
@@ -17,22 +17,22 @@
 are in whole milliseconds and a worker's own timer may fire late."""
 
 
-class Times(NamedTuple):
+class TimeBounds(NamedTuple):
     """What bounds earlier leaders and workers; times in seconds.
 
     ``longest_lease`` is the longest that any leader grants, and ``stop_grace``
     what a worker takes to end a task. ``leaders_overlap``: an earlier leader may
     still order after this one's claim, until each worker has seen the new token.
-    ``move`` is what a VM takes to come from another pool.
+    ``move_seconds`` is what a VM takes to come from another pool.
     """
 
     longest_lease: float
     stop_grace: float
     leaders_overlap: bool = False
-    move: float = 1.5
+    move_seconds: float = 1.5
 
 
-class Belief:
+class PoolView:
     """Belief of one leader about its pool; `core.Pool` adds workers' answers.
 
     Parameters
@@ -56,7 +56,7 @@
         name: str,
         fence: int,
         epoch: int,
-        times: Times,
+        times: TimeBounds,
         now: float,
         tell: Callable[..., None],
     ) -> None:
@@ -69,8 +69,8 @@
         self.vms: dict[str, vm.Vm] = {}
         self.live: dict[model.Task, vm.Run] = {}
         self.ledger = ledger.Ledger(name, fence)
-        self.tidier = tidy.Tidier(name)
-        self.places: dict[str, tidy.JobPlace] = {}
+        self.tidier = compaction.Compactor(name)
+        self.places: dict[str, compaction.RowLocation] = {}
         """Where the rows of open jobs lie."""
         self.deposed = False
         self.unresolved: set[str] = set()
@@ -100,7 +100,11 @@
     # -- rows
 
     def on_job(
-        self, id: str, row: record.JobRecord, version: int, place: tidy.JobPlace
+        self,
+        id: str,
+        row: record.JobRecord,
+        version: int,
+        place: compaction.RowLocation,
     ) -> None:
         """Take a job row: a new job, a cancellation, or a final state."""
         if row.job is None:
@@ -279,7 +283,7 @@
         """Have a final job's rows tidied."""
         noted_at = self.ledger.versions.get(id, 0)
         cancelled_at = state.version if state.cancelled else 0
-        final = progress.choose_final(noted, noted_at, cancelled_at)
+        final = progress.resolve_final_state(noted, noted_at, cancelled_at)
         self.tidier.add(id, self.places[id], final, state.version, noted_at)
 
     def note_sick(self, run: vm.Run, what: str, now: float) -> None:
@@ -314,10 +318,10 @@
             return False
         return not state.is_done(run.task)
 
-    def get_figures(self, state: progress.Progress) -> order.Figures:
+    def get_figures(self, state: progress.Progress) -> priority.Figures:
         """Return what a job's sort key is made of, also where its queue is gone."""
         queue = self.queues.get(state.job.queue)
-        return order.compute_figures(state, queue or state.job.terms)
+        return priority.compute_figures(state, queue or state.job.terms)
 
     def needs_ticket(self, state: progress.Progress) -> bool:
         """Whether the queue's policy allows only some VMs for each step."""
--- a/wigeonhitch/pool/vm.py
+++ b/wigeonhitch/pool/vm.py
@@ -157,9 +157,9 @@
         self.is_silent = False
         """Whether the last call to it got no answer."""
         self.granted = 0.0
-        self.seen = 0
+        self.processed_end = 0
         """Highest number of an end taken into account."""
-        self.noted = 0
+        self.committed_end = 0
         """Highest number of an end that is durable."""
         self.runs: dict[model.Task, Run] = {}
         self.strays: dict[tuple[model.Task, int], float] = {}
--- a/wigeonhitch/site/acceptance.py
+++ b/wigeonhitch/site/acceptance.py
@@ -78,13 +78,13 @@
         is_advised=queue.advice is not None,
         terms=model.Terms(queue.priority, queue.stretch, queue.objective),
     )
-    place = (pool_record.name_job_part(job.id), job.id)
+    place = (pool_record.get_job_part(job.id), job.id)
     absent = rows.Condition(pool_record.HOLDER_TABLE, *place, 0)
     value = record.write_job(kept, queue.pool, time.time())
     return rows.Transaction(
         (absent,),
         (
             rows.Write(*absent[:3], queue.pool.encode()),
-            rows.Write(pool_record.name_job_table(queue.pool), *place, value),
+            rows.Write(pool_record.get_job_table(queue.pool), *place, value),
         ),
     )
--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -10,8 +10,8 @@
 from wigeonhitch.maintenance import record as maintenance
 from wigeonhitch.maintenance import task as fleet_task
 from wigeonhitch.platform import advice, fleet, http, node, rows, workers
-from wigeonhitch.pool import belief, caller, surroundings
-from wigeonhitch.pool import task as pool_task
+from wigeonhitch.pool import dependencies, dispatcher, view
+from wigeonhitch.pool import runner as pool_runner
 from wigeonhitch.site import catalogue, closings, contact, desk, directory, layout
 from wigeonhitch.telemetry import log, metric
 
@@ -48,7 +48,7 @@
         self._fleet_calls = fleet_calls
         self._fleet_runner: fleet_task.Runner | None = None
         self._group: anyio.abc.TaskGroup | None = None
-        self._runners: dict[str, pool_task.Runner] = {}
+        self._runners: dict[str, pool_runner.Runner] = {}
         self._follower = catalogue.Follower(
             store, self._on_catalogue, settings.bounds.configuration
         )
@@ -145,7 +145,7 @@
             self._group.start_soon(self._lead_fleet, self._fleet_runner)
             return
         around = self._make_surroundings(owner.granted)
-        runner = pool_task.Runner(owner, around, http.read_clock())
+        runner = pool_runner.Runner(owner, around, http.read_clock())
         runner.on_queues(self._get_queues())
         self._runners[owner.pool] = runner
         for listed in self._directory.workers.values():
@@ -154,7 +154,7 @@
 
     def _get_granted(self, pool: str) -> float:
         runner = self._runners.get(pool)
-        return runner.get_granted() if runner is not None else 0.0
+        return runner.compute_max_granted_lease() if runner is not None else 0.0
 
     def _on_lost(self, pool: str) -> None:
         if pool == leadership.FLEET and self._fleet_runner is not None:
@@ -164,7 +164,7 @@
         if runner is not None:
             runner.stop()
 
-    async def _lead(self, runner: pool_task.Runner) -> None:
+    async def _lead(self, runner: pool_runner.Runner) -> None:
         pool = runner.owner.pool
         try:
             await runner.run()
@@ -206,10 +206,10 @@
         )
         return fleet_task.Runner(owner, around, http.read_clock())
 
-    def _make_surroundings(self, granted: float) -> surroundings.Surroundings:
+    def _make_surroundings(self, granted: float) -> dependencies.Dependencies:
         bounds = self.settings.bounds
-        longest = min(caller.LONG_LEASE, bounds.longest_lease)
-        return surroundings.Surroundings(
+        longest = min(dispatcher.OUTAGE_LEASE, bounds.longest_lease)
+        return dependencies.Dependencies(
             self._store,
             self._calls,
             self._advice_calls,
@@ -218,7 +218,7 @@
             lambda: self._keeper.renewed,
             lambda: self._leadership.clock.compute_earliest(http.read_clock()),
             bounds.finals_kept,
-            belief.Times(
+            view.TimeBounds(
                 granted or longest,
                 bounds.stop_grace,
                 not self.settings.rates.across,
--- a/wigeonhitch/site/desk.py
+++ b/wigeonhitch/site/desk.py
@@ -193,7 +193,7 @@
         if row.value is not None:
             final = record.read_final(row.value)
             if final is not None:
-                return progress.choose_final(final, row.version, cancelled_at)
+                return progress.resolve_final_state(final, row.version, cancelled_at)
     if found.read.cancelled:
         return model.JobState.CANCELLED
     return model.JobState.RUNNING if noted else model.JobState.QUEUED
--- a/wigeonhitch/site/jobrows.py
+++ b/wigeonhitch/site/jobrows.py
@@ -33,12 +33,12 @@
 
     async def read(self, pool: str, id: str) -> rows.Range:
         """Read a pool's row of a job."""
-        name = pool_record.name_job_table(pool)
-        return await self._read_one(name, pool_record.name_job_part(id), id)
+        name = pool_record.get_job_table(pool)
+        return await self._read_one(name, pool_record.get_job_part(id), id)
 
     async def read_holder(self, id: str) -> rows.Range:
         """Read the row that names the pool of a job; its value is the pool."""
-        part = pool_record.name_job_part(id)
+        part = pool_record.get_job_part(id)
         return await self._read_one(pool_record.HOLDER_TABLE, part, id)
 
     async def read_progress(self, pool: str, id: str) -> rows.Range:
--- a/wigeonhitch/site/tests/history.py
+++ b/wigeonhitch/site/tests/history.py
@@ -16,8 +16,8 @@
 from wigeonhitch.jobs import model, progress
 from wigeonhitch.leadership.tests import simulated
 from wigeonhitch.platform import http, rows, table
+from wigeonhitch.pool import compaction
 from wigeonhitch.pool import record as pool_record
-from wigeonhitch.pool import tidy
 from wigeonhitch.site import acceptance, catalogue, desk, jobrows, message
 from wigeonhitch.telemetry import log, metric
 
@@ -270,7 +270,7 @@
 
     async def _lead(self, pool: str, rng: random.Random) -> None:
         """Complete the pool's jobs after a while, and tidy their rows."""
-        port, tidier = simulated.Port(), tidy.Tidier(pool)
+        port, tidier = simulated.Port(), compaction.Compactor(pool)
         began: dict[str, float] = {}
         read = [orjson.loads(row.value or b"") for row in self._list_rows(pool)]
         listed = zip(self._list_rows(pool), read, strict=True)
@@ -281,7 +281,7 @@
             await self.sleep(0.25)
             for row in self._list_rows(pool):
                 fields = orjson.loads(row.value or b"")
-                place = tidy.JobPlace(row.table, row.part)
+                place = compaction.RowLocation(row.table, row.part)
                 if "final" in fields:
                     tidier.on_final_row(row.key, place, row.version, fields["finished"])
                     continue
@@ -290,7 +290,7 @@
                     ended = await self._finish(port, pool, row.key, fields)
                     if ended is not None:
                         cancelled_at = row.version if fields.get("cancelled") else 0
-                        state = progress.choose_final(*ended, cancelled_at)
+                        state = progress.resolve_final_state(*ended, cancelled_at)
                         tidier.add(row.key, place, state, row.version, ended[1])
             work = tidier.collect(self.now, KEPT)
             if work is not None:
@@ -363,7 +363,7 @@
 def switch_off(mechanism: str, put: Any) -> None:
     """Take one mechanism out."""
     plan, find = acceptance._plan_rows, desk.Desk._find
-    remove = tidy.Tidier._remove
+    remove = compaction.Compactor._remove
 
     def plan_unconditionally(*given: Any) -> rows.Transaction:
         return plan(*given)._replace(conditions=())
@@ -386,4 +386,4 @@
     elif mechanism == "holder":
         put(desk.Desk, "_find", find_in_pool)
     elif mechanism == "removal":
-        put(tidy.Tidier, "_remove", remove_own_row)
+        put(compaction.Compactor, "_remove", remove_own_row)
--- a/wigeonhitch/site/tests/test_closings.py
+++ b/wigeonhitch/site/tests/test_closings.py
@@ -7,7 +7,7 @@
 from wigeonhitch.leadership import core as leadership
 from wigeonhitch.maintenance import record
 from wigeonhitch.platform import entries, rows
-from wigeonhitch.pool import belief, board, core, need, source
+from wigeonhitch.pool import core, demand, source, status, view
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.site import closings
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def pool():
-    times = belief.Times(6.5, 0.2)
+    times = view.TimeBounds(6.5, 0.2)
     made = core.Pool("p", 1, 1, times, NOW, lambda what, **fields: None)
     room = model.Room(8000, 9000)
     entry = entries.WorkerEntry("w1", "p", "w1:1", "dc", False, room, ())
@@ -105,7 +105,7 @@
     await follower._read_all()
     one.reconciled = True
 
-    made = board.make_board(pool, 0, need.compute_need([], 0, 0.0))
-    read = pool_record.read_board(pool_record.write_board(made))
+    made = status.build_status(pool, 0, demand.compute_demand([], 0, 0.0))
+    read = pool_record.read_status(pool_record.write_status(made))
 
     assert (read.empty, read.closings) == (("w1",), store.version)
--- a/wigeonhitch/site/tests/test_desk.py
+++ b/wigeonhitch/site/tests/test_desk.py
@@ -8,7 +8,7 @@
 from standins import rowstore
 from wigeonhitch.jobs import model, progress, record
 from wigeonhitch.platform import rows, table
-from wigeonhitch.pool import belief, core, tidy
+from wigeonhitch.pool import compaction, core, view
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.site import catalogue, desk, message
 from wigeonhitch.telemetry import metric
@@ -18,8 +18,8 @@
 QUEUE = model.Queue("q", "h", "/q/", "p")
 MOVED = QUEUE._replace(pool="other")
 JOB = model.Job("j", "q", "", (model.Step(1, model.Room(1000, 10)),))
-TABLE = pool_record.name_job_table("p")
-PART = pool_record.name_job_part("j")
+TABLE = pool_record.get_job_table("p")
+PART = pool_record.get_job_part("j")
 
 
 class Site:
@@ -65,8 +65,8 @@
     answer = await site.desk.submit(MOVED, JOB)
 
     assert answer.verdict is message.Verdict.ACCEPTED
-    other = pool_record.name_job_table("other")
-    part = pool_record.name_job_part("j")
+    other = pool_record.get_job_table("other")
+    part = pool_record.get_job_part("j")
     assert site.store.get(other, part, "j") is None
     assert (await site.desk.show(MOVED, "j")).state is model.JobState.QUEUED
 
@@ -92,8 +92,8 @@
     answer = await site.desk.submit(MOVED, JOB)
 
     assert answer.verdict is message.Verdict.ACCEPTED
-    other = pool_record.name_job_table("other")
-    part = pool_record.name_job_part("j")
+    other = pool_record.get_job_table("other")
+    part = pool_record.get_job_part("j")
     assert site.store.get(other, part, "j") is None
 
 
@@ -254,16 +254,16 @@
 
 
 async def test_the_count_is_what_the_leader_shows(site):
-    board = pool_record.Board({"q": 4, "other": 9})
-    value = pool_record.write_board(board)
-    site.store.put(pool_record.BOARD_TABLE, "p", pool_record.BOARD_TABLE, value)
+    board = pool_record.PoolStatus({"q": 4, "other": 9})
+    value = pool_record.write_status(board)
+    site.store.put(pool_record.STATUS_TABLE, "p", pool_record.STATUS_TABLE, value)
 
     assert (await site.desk.count(QUEUE)).pending == 4
 
 
 def show_board(site, pool, **waiting):
-    value = pool_record.write_board(pool_record.Board(waiting))
-    site.store.put(pool_record.BOARD_TABLE, pool, pool_record.BOARD_TABLE, value)
+    value = pool_record.write_status(pool_record.PoolStatus(waiting))
+    site.store.put(pool_record.STATUS_TABLE, pool, pool_record.STATUS_TABLE, value)
 
 
 async def test_the_count_holds_what_waits_in_former_pools(site):
@@ -320,9 +320,9 @@
     queue = QUEUE._replace(stretch=2.0, objective=3.0)
     await site.desk.submit(queue, JOB)
     read = record.read_job("j", site.store.get(TABLE, PART, "j"))
-    times = belief.Times(6.5, 1.0)
+    times = view.TimeBounds(6.5, 1.0)
     pool = core.Pool("p", 1, 1, times, 0.0, lambda *given, **named: None)
-    pool.on_job("j", read, 2, tidy.JobPlace(TABLE, PART))
+    pool.on_job("j", read, 2, compaction.RowLocation(TABLE, PART))
 
     figures = pool.get_figures(pool.jobs["j"])
 
@@ -376,7 +376,7 @@
         pool
         for pool in ("p", "other")
         if store.get(
-            pool_record.name_job_table(pool), pool_record.name_job_part("j"), "j"
+            pool_record.get_job_table(pool), pool_record.get_job_part("j"), "j"
         )
     ]
 
@@ -580,7 +580,7 @@
 
 def count_parts(jobs):
     """Return how many of so many jobs lie in the fullest part."""
-    parts = [pool_record.name_job_part(f"{number:016x}") for number in range(jobs)]
+    parts = [pool_record.get_job_part(f"{number:016x}") for number in range(jobs)]
     return max(collections.Counter(parts).values())
 
 
--- a/wigeonhitch/site/tests/test_two_leaders.py
+++ b/wigeonhitch/site/tests/test_two_leaders.py
@@ -19,7 +19,8 @@
 from wigeonhitch.jobs import record as jobs
 from wigeonhitch.leadership import core, record
 from wigeonhitch.platform import http
-from wigeonhitch.pool import task, tidy
+from wigeonhitch.pool import compaction
+from wigeonhitch.pool import runner as pool_runner
 
 pytestmark = pytest.mark.anyio
 
@@ -120,8 +121,8 @@
         await site.wait_for(lambda: all_open(runner))
         job = model.Job("j0", "q", "", (model.Step(1, model.Room(1000, 10), 0.2),))
         row = jobs.JobRecord(job, 0.0, False)
-        place = tidy.JobPlace("job00", "p.0")
-        await anyio.sleep(task.ROUND_GAP * 3)
+        place = compaction.RowLocation("job00", "p.0")
+        await anyio.sleep(pool_runner.MIN_ROUND_INTERVAL * 3)
         runner.pool.on_job("j0", row, site.store.version + 1, place)
         runner.on_queues(one._get_queues())
         one._on_lost("p")
--- a/wigeonhitch/site/waiting.py
+++ b/wigeonhitch/site/waiting.py
@@ -38,7 +38,7 @@
             if read.outcome is not table.Outcome.DONE:
                 return read
             for row in read.rows:
-                board = pool_record.read_board(row.value or b"")
+                board = pool_record.read_status(row.value or b"")
                 total += board.waiting.get(queue.name, 0)
         return total
 
@@ -48,7 +48,7 @@
         if self._looked is not None and now - self._looked < LOOK_PERIOD:
             return
         listed = await self._store.list_parts(
-            pool_record.BOARD_TABLE, timeout=jobrows.TIMEOUT
+            pool_record.STATUS_TABLE, timeout=jobrows.TIMEOUT
         )
         if listed.names is None:
             return
@@ -59,9 +59,9 @@
 
     async def _read(self, pool: str) -> rows.Range:
         read = await self._store.read(
-            pool_record.BOARD_TABLE, pool, timeout=jobrows.TIMEOUT
+            pool_record.STATUS_TABLE, pool, timeout=jobrows.TIMEOUT
         )
         for row in read.rows:
-            board = pool_record.read_board(row.value or b"")
+            board = pool_record.read_status(row.value or b"")
             self._queues[pool] = frozenset(board.waiting)
         return read
