--- a/wigeonhitch/jobs/model.py
+++ b/wigeonhitch/jobs/model.py
@@ -179,7 +179,7 @@
         """Whether the job only ends by being cancelled."""
         return any(step.lasting for step in self.steps)
 
-    def compute_chain(self) -> float:
+    def compute_critical_path(self) -> float:
         """Return the seconds of the longest chain of steps, by estimates."""
         ends: list[float] = []
         for step in self.steps:
--- a/wigeonhitch/jobs/progress.py
+++ b/wigeonhitch/jobs/progress.py
@@ -32,7 +32,7 @@
         self.cancelled = False
         self.started = False
         self.final: model.JobState | None = None
-        self.settled = False
+        self.is_final_durable = False
         """Whether the final state is durable."""
         self.done: dict[tuple[int, int], set[int]] = {}
         self.failed_runs: dict[model.Task, set[int]] = {}
@@ -58,7 +58,7 @@
             return 0.0
         return self.job.first_due + occurrence * self.job.interval
 
-    def is_known(self, task: model.Task) -> bool:
+    def has_task(self, task: model.Task) -> bool:
         """Whether the job has a task of that name."""
         return (
             0 <= task.occurrence < self.job.occurrences
@@ -66,13 +66,13 @@
             and 0 <= task.index < self.job.steps[task.step].count
         )
 
-    def list_open(self, wall: float) -> Iterator[model.Task]:
+    def list_open_tasks(self, wall_time: float) -> Iterator[model.Task]:
         """Yield the tasks that may run now, done ones left out.
 
-        ``wall`` is the time of day, seconds since 1970.
+        ``wall_time`` is the time of day, seconds since 1970.
         """
         for occurrence in range(self.job.occurrences):
-            if self.compute_due(occurrence) > wall:
+            if self.compute_due(occurrence) > wall_time:
                 return
             for number, step in enumerate(self.job.steps):
                 if self.is_step_done(occurrence, number):
@@ -84,15 +84,15 @@
                     if index not in done:
                         yield model.Task(self.job.id, occurrence, number, index)
 
-    def compute_next_due(self, wall: float) -> float | None:
+    def compute_next_due(self, wall_time: float) -> float | None:
         """Return when the next occurrence falls due, if one is to come."""
         for occurrence in range(self.job.occurrences):
             due = self.compute_due(occurrence)
-            if due > wall:
+            if due > wall_time:
                 return due
         return None
 
-    def note_done(self, task: model.Task) -> None:
+    def record_done(self, task: model.Task) -> None:
         """Take note that a run of the task ended done.
 
         One such end of a gang stands for all its members.
@@ -104,25 +104,25 @@
         else:
             done.add(task.index)
 
-    def note_failed(self, task: model.Task, run: int) -> None:
+    def record_failed(self, task: model.Task, run: int) -> None:
         """Take note of a failed run; the same run counts once.
 
         All members of a gang share one count, kept under its first task.
         """
-        self.failed_runs.setdefault(self._find_counted(task), set()).add(run)
+        self.failed_runs.setdefault(self._get_attempt_key(task), set()).add(run)
 
-    def count_failed(self, task: model.Task) -> int:
+    def count_failed_runs(self, task: model.Task) -> int:
         """Return how many runs of the task, or of its gang, failed."""
-        return len(self.failed_runs.get(self._find_counted(task), ()))
+        return len(self.failed_runs.get(self._get_attempt_key(task), ()))
 
-    def note_checkpoint(self, task: model.Task, checkpoint: str) -> None:
+    def record_checkpoint(self, task: model.Task, checkpoint: str) -> None:
         """Keep the newest checkpoint of a task; of a gang, one for all."""
         if checkpoint:
-            self.checkpoints[self._find_counted(task)] = checkpoint
+            self.checkpoints[self._get_attempt_key(task)] = checkpoint
 
     def get_checkpoint(self, task: model.Task) -> str:
         """Return the newest checkpoint; empty when there is none."""
-        return self.checkpoints.get(self._find_counted(task), "")
+        return self.checkpoints.get(self._get_attempt_key(task), "")
 
     def is_complete(self) -> bool:
         """Whether all tasks of all occurrences are done."""
@@ -136,7 +136,7 @@
         """Whether the task may not be started again."""
         if self.job.steps[task.step].lasting:
             return False
-        return self.count_failed(task) >= max_attempts
+        return self.count_failed_runs(task) >= max_attempts
 
     @property
     def state(self) -> model.JobState:
@@ -147,7 +147,7 @@
             return model.JobState.CANCELLED
         return model.JobState.RUNNING if self.started else model.JobState.QUEUED
 
-    def _find_counted(self, task: model.Task) -> model.Task:
+    def _get_attempt_key(self, task: model.Task) -> model.Task:
         if self.job.steps[task.step].gang:
             return task._replace(index=0)
         return task
--- a/wigeonhitch/jobs/record.py
+++ b/wigeonhitch/jobs/record.py
@@ -130,7 +130,7 @@
 def read_progress(state: progress.Progress, value: bytes) -> None:
     """Put what a progress row says into ``state``."""
     state.final = read_final(value)
-    state.settled = state.final is not None
+    state.is_final_durable = state.final is not None
     row = orjson.loads(value)
     state.started = row.get("started", False)
     for key, mask in row.get("done", {}).items():
--- a/wigeonhitch/jobs/tests/test_jobs.py
+++ b/wigeonhitch/jobs/tests/test_jobs.py
@@ -20,19 +20,19 @@
 
 
 def test_a_step_opens_once_all_tasks_before_it_are_done(chain):
-    assert [task.step for task in chain.list_open(0.0)] == [0, 0]
+    assert [task.step for task in chain.list_open_tasks(0.0)] == [0, 0]
 
-    chain.note_done(model.Task("j", 0, 0, 0))
-    assert [task[1:] for task in chain.list_open(0.0)] == [(0, 0, 1)]
+    chain.record_done(model.Task("j", 0, 0, 0))
+    assert [task[1:] for task in chain.list_open_tasks(0.0)] == [(0, 0, 1)]
 
-    chain.note_done(model.Task("j", 0, 0, 1))
-    assert [task[1:] for task in chain.list_open(0.0)] == [(0, 1, 0)]
+    chain.record_done(model.Task("j", 0, 0, 1))
+    assert [task[1:] for task in chain.list_open_tasks(0.0)] == [(0, 1, 0)]
 
 
 def test_one_done_end_of_a_gang_stands_for_all():
     state = make_state(model.Step(4, ROOM, gang=True))
 
-    state.note_done(model.Task("j", 0, 0, 2))
+    state.record_done(model.Task("j", 0, 0, 2))
 
     assert state.is_complete()
 
@@ -40,9 +40,9 @@
 def test_a_failed_run_that_is_listed_again_counts_once(chain):
     task = model.Task("j", 0, 0, 0)
     for _ in range(3):
-        chain.note_failed(task, 7)
+        chain.record_failed(task, 7)
 
-    assert chain.count_failed(task) == 1
+    assert chain.count_failed_runs(task) == 1
     assert not chain.is_exhausted(task, 2)
 
 
@@ -50,7 +50,7 @@
     state = make_state(model.Step(1, ROOM, lasting=True))
     task = model.Task("j", 0, 0, 0)
     for run in range(9):
-        state.note_failed(task, run)
+        state.record_failed(task, run)
 
     assert not state.is_exhausted(task, 1)
 
@@ -59,8 +59,8 @@
     step = model.Step(1, ROOM)
     state = make_state(step, times=3, first_due=50.0, interval=10.0)
 
-    assert [task.occurrence for task in state.list_open(49.9)] == []
-    assert [task.occurrence for task in state.list_open(60.0)] == [0, 1]
+    assert [task.occurrence for task in state.list_open_tasks(49.9)] == []
+    assert [task.occurrence for task in state.list_open_tasks(60.0)] == [0, 1]
     assert state.compute_next_due(60.0) == 70.0
 
 
@@ -85,9 +85,9 @@
     state = progress.Progress(job, 3, 9.5)
     for number, step in enumerate(found):
         index = data.draw(st.integers(0, step.count - 1))
-        state.note_done(model.Task("j", 1, number, index))
-        state.note_failed(model.Task("j", 0, number, index), 1 << 33)
-        state.note_checkpoint(model.Task("j", 0, number, index), "c1")
+        state.record_done(model.Task("j", 1, number, index))
+        state.record_failed(model.Task("j", 0, number, index), 1 << 33)
+        state.record_checkpoint(model.Task("j", 0, number, index), "c1")
 
     read = record.read_job("j", record.write_job(job, "p", 9.5, cancelled=True))
     again = progress.Progress(read.job, 3, read.accepted)
--- a/wigeonhitch/pool/compaction.py
+++ b/wigeonhitch/pool/compaction.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Compactor", "RowLocation"]
 
-ROWS_A_CALL = 20
+MAX_ROWS_PER_TRANSACTION = 20
 """Rows in one transaction."""
 
 
@@ -26,14 +26,14 @@
     part: str
 
 
-class _Final(NamedTuple):
+class _FinalJob(NamedTuple):
     place: RowLocation
     state: model.JobState
     version: int
     noted_at: int
 
 
-class _Kept(NamedTuple):
+class _CompactedRow(NamedTuple):
     place: RowLocation
     version: int
     finished: float
@@ -58,9 +58,11 @@
 
     def __init__(self, pool: str) -> None:
         self._pool = pool
-        self._finals: dict[str, _Final] = {}
-        self._kept: collections.OrderedDict[str, _Kept] = collections.OrderedDict()
-        self._shrunk: dict[str, int] = {}
+        self._finals: dict[str, _FinalJob] = {}
+        self._compacted: collections.OrderedDict[str, _CompactedRow] = (
+            collections.OrderedDict()
+        )
+        self._compacted_versions: dict[str, int] = {}
         """Versions of rows that were shrunk and haven't been read since."""
 
     def add(
@@ -72,14 +74,14 @@
         noted_at: int = 0,
     ) -> None:
         """Note a final job, its row's version and that at which its end was noted."""
-        self._finals[id] = _Final(place, state, version, noted_at)
+        self._finals[id] = _FinalJob(place, state, version, noted_at)
 
     def on_final_row(
         self, id: str, place: RowLocation, version: int, finished: float
     ) -> None:
         """Take a row that has been shrunk."""
-        self._kept[id] = _Kept(place, version, finished)
-        self._shrunk.pop(id, None)
+        self._compacted[id] = _CompactedRow(place, version, finished)
+        self._compacted_versions.pop(id, None)
 
     def is_waiting(self, id: str) -> bool:
         """Whether a job's row is still to be shrunk."""
@@ -87,14 +89,14 @@
 
     def is_final(self, id: str, version: int) -> bool:
         """Whether a job is final by what is known later than a version of its row."""
-        kept = self._kept.get(id)
-        final = max(self._shrunk.get(id, 0), kept.version if kept else 0)
+        kept = self._compacted.get(id)
+        final = max(self._compacted_versions.get(id, 0), kept.version if kept else 0)
         return self.is_waiting(id) or version < final
 
     def collect(self, store_time: float, kept: float) -> Work | None:
         """Return what to write next: rows of one part, or None."""
         if self._finals:
-            return self._shrink(store_time)
+            return self._compact(store_time)
         return self._remove(store_time - kept)
 
     def on_result(self, work: Work, change: rows.Change) -> tuple[str, ...]:
@@ -103,9 +105,9 @@
             for id in work.ids:
                 self._finals.pop(id, None)
                 if work.removes:
-                    self._kept.pop(id, None)
-                elif id not in self._kept:
-                    self._shrunk[id] = change.version
+                    self._compacted.pop(id, None)
+                elif id not in self._compacted:
+                    self._compacted_versions[id] = change.version
             return () if work.removes else work.ids
         if change.reason != "conflict":
             return ()
@@ -114,13 +116,13 @@
         gone = rows.list_gone(work.transaction.conditions, change.conflicts)
         for one in gone:
             self._finals.pop(one.key, None)
-            self._kept.pop(one.key, None)
+            self._compacted.pop(one.key, None)
         return () if work.removes else tuple(one.key for one in gone)
 
-    def _shrink(self, store_time: float) -> Work:
+    def _compact(self, store_time: float) -> Work:
         place = next(iter(self._finals.values())).place
         chosen = [one for one in self._finals.items() if one[1].place == place]
-        chosen = chosen[:ROWS_A_CALL]
+        chosen = chosen[:MAX_ROWS_PER_TRANSACTION]
         conditions = []
         writes = []
         for id, final in chosen:
@@ -131,7 +133,7 @@
         return Work(transaction, tuple(id for id, _ in chosen), False)
 
     def _remove(self, before: float) -> Work | None:
-        for id, one in self._kept.items():
+        for id, one in self._compacted.items():
             if one.finished >= before:
                 return None
             condition = rows.Condition(*one.place, id, one.version)
@@ -151,6 +153,6 @@
                 final.state, final.noted_at, row.version if is_cancelled else 0
             )
             self._finals[row.key] = final._replace(state=state, version=row.version)
-        kept = self._kept.get(row.key)
+        kept = self._compacted.get(row.key)
         if kept is not None:
-            self._kept[row.key] = kept._replace(version=row.version)
+            self._compacted[row.key] = kept._replace(version=row.version)
--- a/wigeonhitch/pool/core.py
+++ b/wigeonhitch/pool/core.py
@@ -20,19 +20,19 @@
 
 __all__ = ["Pool"]
 
-ENDS_A_REPLY = 500
+MAX_ENDS_PER_REPLY = 500
 """Most ends in one answer of a worker; with so many, more may be missing."""
 
 RETRY_PAUSE = 0.25
 """Seconds before a refused start is tried again: a fifth of the time that a
 small task takes, so that a bad VM doesn't take all starts."""
 
-SHORT_LIFE = 1.5
+SHORT_RUN_SECONDS = 1.5
 """Seconds of life below which the end of a lasting task speaks against its VM:
 they come to work in well under a second and last for many."""
 
 
-ADOPTED_UNSURE = 0.5
+ADOPTION_GRACE_SECONDS = 0.5
 """Seconds, beyond the time that a stop takes, after which a run that was taken
 over and is still listed isn't being stopped: an earlier leader's last orders
 are on their way for up to 0.25 s on a slow link."""
@@ -51,19 +51,19 @@
             self.drop_vm(one, "another life of the VM answers")
         if reply.verdict is not workers.Verdict.DONE:
             return
-        one.learn_clock(reply.clock, reply.received)
+        one.update_clock(reply.clock, reply.received)
         one.last_answer = now
-        one.told_clock = reply.clock
+        one.reported_clock = reply.clock
         if not one.answered:
             one.answered = True
             # An earlier leader may have granted the longest lease just before.
-            one.note_grant(reply.clock + self.times.longest_lease)
-            self.tell("VM answers", vm=one.id, running=len(reply.running))
+            one.record_lease_deadline(reply.clock + self.times.longest_lease)
+            self.log_event("VM answers", vm=one.id, running=len(reply.running))
         for end in reply.ended:
             if end.number > one.processed_end:
                 self._apply_end(one, end, now)
                 one.processed_end = end.number
-        if len(reply.ended) < ENDS_A_REPLY:
+        if len(reply.ended) < MAX_ENDS_PER_REPLY:
             self._reconcile(one, reply, now)
             # Only now it is known what runs there, and what has ended.
             one.reconciled = True
@@ -75,21 +75,21 @@
             return
         verdict = reply.verdict
         if verdict is workers.Verdict.DONE:
-            run.vm.learn_clock(reply.clock, reply.received)
-            self._confirm(run, now)
+            run.vm.update_clock(reply.clock, reply.received)
+            self._confirm_start(run, now)
         elif verdict is workers.Verdict.UNKNOWN:
             run.state = vm.RunState.UNKNOWN
-            self.tell("start without an answer", **view.describe(run))
+            self.log_event("start without an answer", **view.describe_run(run))
         elif verdict is workers.Verdict.FENCED:
             self._depose(run.vm)
         elif verdict is workers.Verdict.GONE:
             self.drop_vm(run.vm, "another life of the VM answers")
         else:
-            self._refuse(run, verdict, now)
+            self._handle_refusal(run, verdict, now)
 
     # -- inside
 
-    def _confirm(self, run: vm.Run, now: float) -> None:
+    def _confirm_start(self, run: vm.Run, now: float) -> None:
         if run.state is not vm.RunState.STOPPING:
             run.state = vm.RunState.RUNNING
         run.since = now
@@ -97,7 +97,7 @@
         state = self.jobs.get(run.task.job)
         if state is not None and not state.started:
             state.started = True
-            self.tell(
+            self.log_event(
                 "job started",
                 job=run.task.job,
                 vm=run.vm.id,
@@ -105,54 +105,62 @@
                 waited=self._compute_age(state),
             )
 
-    def _refuse(self, run: vm.Run, verdict: workers.Verdict, now: float) -> None:
-        self.remove(run)
+    def _handle_refusal(
+        self, run: vm.Run, verdict: workers.Verdict, now: float
+    ) -> None:
+        self.remove_run(run)
         self.not_before[run.task] = now + RETRY_PAUSE
         if verdict is workers.Verdict.UNHEALTHY:
-            run.vm.set_aside(now)
+            run.vm.quarantine(now)
         if verdict is workers.Verdict.NOT_DONE:
             run.vm.last_answer = 0.0
         if verdict is workers.Verdict.BAD_TICKET:
             self.tickets.drop(advice.StepName(*run.task[:3]))
-        self.tell("start refused", reason=verdict.value, **view.describe(run))
+        self.log_event("start refused", reason=verdict.value, **view.describe_run(run))
 
     def _depose(self, one: vm.Vm) -> None:
         if not self.deposed:
-            self.tell("a worker has seen a higher token", vm=one.id, fence=self.fence)
+            self.log_event(
+                "a worker has seen a higher token", vm=one.id, fence=self.fence
+            )
         self.deposed = True
 
     def _apply_end(self, one: vm.Vm, end: workers.Ended, now: float) -> None:
         run = one.runs.get(end.task)
         known = run is not None and run.number == end.run
         if known:
-            self.remove(run)
-        elif end.run > self.base and end.task in self.numbers:
+            self.remove_run(run)
+        elif end.run > self.run_number_base and end.task in self.run_numbers:
             return  # a run of ours that was taken for lapsed before
         state = self.jobs.get(end.task.job)
-        if state is None or state.final is not None or not state.is_known(end.task):
+        if state is None or state.final is not None or not state.has_task(end.task):
             return
-        self.changed.add(end.task.job)
+        self.changed_jobs.add(end.task.job)
         step = state.job.steps[end.task.step]
-        lived = now - run.since if known else SHORT_LIFE
-        if (not step.lasting or lived < SHORT_LIFE) and one.note_end(end.end, now):
-            self.tell("VM set aside", vm=one.id, until=round(one.set_aside_until, 2))
+        lived = now - run.since if known else SHORT_RUN_SECONDS
+        if (not step.lasting or lived < SHORT_RUN_SECONDS) and one.record_end(
+            end.end, now
+        ):
+            self.log_event(
+                "VM set aside", vm=one.id, until=round(one.quarantined_until, 2)
+            )
         if step.lasting:
             return
         if end.end is model.End.DONE:
-            self._note_done(state, end.task)
+            self._record_done(state, end.task)
         elif end.end is model.End.FAILED:
-            self._note_failed(state, end, one)
+            self._record_failed(state, end, one)
         else:
-            state.note_checkpoint(end.task, end.checkpoint)
-            self.ledger.mark(end.task.job)
+            state.record_checkpoint(end.task, end.checkpoint)
+            self.ledger.mark_dirty(end.task.job)
 
-    def _note_done(self, state: progress.Progress, task: model.Task) -> None:
-        state.note_done(task)
+    def _record_done(self, state: progress.Progress, task: model.Task) -> None:
+        state.record_done(task)
         state.started = True
-        self.ledger.mark(task.job)
+        self.ledger.mark_dirty(task.job)
         if state.is_complete() and not state.cancelled:
             state.final = model.JobState.COMPLETED
-            self.tell(
+            self.log_event(
                 "job complete",
                 job=task.job,
                 took=self._compute_age(state),
@@ -160,23 +168,23 @@
                 failed_runs=sum(map(len, state.failed_runs.values())),
             )
 
-    def _note_failed(
+    def _record_failed(
         self, state: progress.Progress, end: workers.Ended, one: vm.Vm
     ) -> None:
         if state.is_done(end.task):
             return
-        state.note_failed(end.task, end.run)
+        state.record_failed(end.task, end.run)
         state.started = True
         self.failed_on[end.task] = one.id
-        self.ledger.mark(end.task.job)
-        self.tell("run failed", job=end.task.job, task=end.task[1:], vm=one.id)
+        self.ledger.mark_dirty(end.task.job)
+        self.log_event("run failed", job=end.task.job, task=end.task[1:], vm=one.id)
         if state.is_exhausted(end.task, self.get_max_attempts(state)):
             state.final = model.JobState.FAILED
             self.must_scan = True
-            self.tell("job failed", job=end.task.job, task=end.task[1:], vm=one.id)
+            self.log_event("job failed", job=end.task.job, task=end.task[1:], vm=one.id)
 
     def _compute_age(self, state: progress.Progress) -> float:
-        return round(self.wall - state.accepted, 3)
+        return round(self.wall_time - state.accepted, 3)
 
     def _compute_objective(self, state: progress.Progress) -> float:
         queue = self.queues.get(state.job.queue)
@@ -189,27 +197,27 @@
         for run in list(one.runs.values()):
             entry = listed.pop((run.task, run.number), None)
             if entry is not None:
-                self._see_running(run, entry, now)
+                self._update_running(run, entry, now)
             elif run.state in (vm.RunState.STARTING, vm.RunState.UNKNOWN):
                 if reply.clock > run.deadline:
-                    self.tell("start has not happened", **view.describe(run))
-                    self.remove(run)
+                    self.log_event("start has not happened", **view.describe_run(run))
+                    self.remove_run(run)
             elif run.since < reply.sent:
-                self.tell("run not listed any more", **view.describe(run))
-                self.remove(run)
+                self.log_event("run not listed any more", **view.describe_run(run))
+                self.remove_run(run)
         strays = [e for e in listed.values() if not self._adopt(one, e, now)]
         for entry in strays:
-            if (entry.task, entry.run) not in one.strays:
-                self._tell_stray(one, entry)
-        one.strays = {
-            (entry.task, entry.run): one.strays.get((entry.task, entry.run), 0.0)
+            if (entry.task, entry.run) not in one.orphans:
+                self._log_orphan(one, entry)
+        one.orphans = {
+            (entry.task, entry.run): one.orphans.get((entry.task, entry.run), 0.0)
             for entry in strays
         }
 
-    def _tell_stray(self, one: vm.Vm, entry: workers.Running) -> None:
+    def _log_orphan(self, one: vm.Vm, entry: workers.Running) -> None:
         """Log a listed run that nobody wants; one beside ours runs a second time."""
         ours = self.live.get(entry.task)
-        self.tell(
+        self.log_event(
             "run listed that nobody wants",
             job=entry.task.job,
             task=entry.task[1:],
@@ -219,13 +227,13 @@
             beside_vm=ours.vm.id if ours else "",
         )
 
-    def _see_running(self, run: vm.Run, entry: workers.Running, now: float) -> None:
+    def _update_running(self, run: vm.Run, entry: workers.Running, now: float) -> None:
         if run.state in (vm.RunState.STARTING, vm.RunState.UNKNOWN):
-            self._confirm(run, now)
-        run.note_work(entry.work, run.vm.told_clock)
+            self._confirm_start(run, now)
+        run.record_work(entry.work, run.vm.reported_clock)
         run.load = entry.load
         if entry.checkpoint and run.task.job in self.jobs:
-            self.jobs[run.task.job].note_checkpoint(run.task, entry.checkpoint)
+            self.jobs[run.task.job].record_checkpoint(run.task, entry.checkpoint)
 
     def _adopt(self, one: vm.Vm, entry: workers.Running, now: float) -> bool:
         """Take over a listed run; return whether anybody wants it."""
@@ -234,18 +242,18 @@
             state is not None
             and state.final is None
             and not state.cancelled
-            and state.is_known(entry.task)
+            and state.has_task(entry.task)
             and not state.is_done(entry.task)
             and entry.task not in self.live
-            and entry.run <= self.base
+            and entry.run <= self.run_number_base
         )
         if not wanted:
             return False
         step = state.job.steps[entry.task.step]
         run = one.adopt(entry, step, now)
         run.load = entry.load
-        run.sure_from = now + self.times.stop_grace + ADOPTED_UNSURE
+        run.sure_from = now + self.times.stop_grace + ADOPTION_GRACE_SECONDS
         self.live[entry.task] = run
         state.started = True
-        state.note_checkpoint(entry.task, entry.checkpoint)
+        state.record_checkpoint(entry.task, entry.checkpoint)
         return True
--- a/wigeonhitch/pool/demand.py
+++ b/wigeonhitch/pool/demand.py
@@ -31,14 +31,14 @@
 chance between bursts: a twentieth of the rate, every few seconds."""
 
 
-RISE = Window(0.5, 5)
+RISE_WINDOW = Window(0.5, 5)
 """Two such spans, one after the other, show a rise. Both together have this many jobs
 at least, and the second more than chance would bring."""
 
-CHANCE = 2.0
+MIN_RISE_SIGMAS = 2.0
 """Standard deviations by which one count must exceed the one before to be a rise."""
 
-LOOK_AHEAD = 0.3
+LOOK_AHEAD_SECONDS = 0.3
 """Seconds beyond a move's own until its VM takes tasks: board, order and first call."""
 
 
@@ -64,10 +64,10 @@
     """
 
     def __init__(self, move: float = 0.0) -> None:
-        self._ahead = move + LOOK_AHEAD if move else 0.0
+        self._look_ahead = move + LOOK_AHEAD_SECONDS if move else 0.0
         self._recent: collections.deque[tuple[float, float]] = collections.deque()
 
-    def note(self, work: float, now: float) -> None:
+    def record(self, work: float, now: float) -> None:
         """Take a job of so many core-seconds."""
         self._recent.append((now, work))
 
@@ -76,21 +76,23 @@
         longest = max(one.seconds for one in WINDOWS)
         while self._recent and now - self._recent[0][0] > longest:
             self._recent.popleft()
-        rate = max(self._look_back(one, now) for one in WINDOWS)
-        return rate + self._ahead * self._compute_rise(now)
+        rate = max(self._compute_window_rate(one, now) for one in WINDOWS)
+        return rate + self._look_ahead * self._compute_rise(now)
 
     def _compute_rise(self, now: float) -> float:
         """Return by how much the rate grows in a second; 0 if that may be chance."""
-        seconds = RISE.seconds
+        seconds = RISE_WINDOW.seconds
         newer = [work for at, work in self._recent if now - at <= seconds]
         older = [work for at, work in self._recent if seconds < now - at <= 2 * seconds]
-        if len(newer) + len(older) < RISE.jobs:
+        if len(newer) + len(older) < RISE_WINDOW.jobs:
             return 0.0
-        if len(newer) - len(older) <= CHANCE * math.sqrt(len(newer) + len(older)):
+        if len(newer) - len(older) <= MIN_RISE_SIGMAS * math.sqrt(
+            len(newer) + len(older)
+        ):
             return 0.0
         return (sum(newer) - sum(older)) / seconds / seconds
 
-    def _look_back(self, window: Window, now: float) -> float:
+    def _compute_window_rate(self, window: Window, now: float) -> float:
         found = [work for at, work in self._recent if now - at <= window.seconds]
         if len(found) < window.jobs:
             return 0.0
@@ -98,24 +100,28 @@
 
 
 def compute_demand(
-    figures: Iterable[priority.Figures], arriving: float, wall: float
+    inputs: Iterable[priority.SortInputs], arriving: float, wall_time: float
 ) -> Demand:
     """Return what a pool's batch work needs.
 
     Parameters
     ----------
-    figures : iterable of order.Figures
+    inputs : iterable of order.Figures
         Of all open jobs.
     arriving : float
         Processors for what is handed in; see `Arrivals`.
-    wall : float
+    wall_time : float
         Seconds since 1970.
     """
     wanted = least = 0.0
-    for one in figures:
-        if one.is_lasting or one.chain_left <= 0 or wall + one.chain_left > one.due:
+    for one in inputs:
+        if (
+            one.is_lasting
+            or one.critical_path_left <= 0
+            or wall_time + one.critical_path_left > one.due
+        ):
             continue
-        wanted += one.work_left / one.chain_left
-        least += one.work_left / (one.due - wall)
+        wanted += one.work_left / one.critical_path_left
+        least += one.work_left / (one.due - wall_time)
     wanted, least = max(wanted, arriving), max(least, arriving)
     return Demand(round(1000 * wanted), round(1000 * least), round(1000 * arriving))
--- a/wigeonhitch/pool/dependencies.py
+++ b/wigeonhitch/pool/dependencies.py
@@ -14,7 +14,7 @@
     """What a leader works with.
 
     ``may_order`` says whether an order may be given at this moment;
-    ``get_renewed`` returns when it was last renewed; ``get_store_time`` the
+    ``get_last_renewal`` returns when it was last renewed; ``get_store_time`` the
     store's clock, in seconds.
     """
 
@@ -23,7 +23,7 @@
     advice: advice.AdviceCalls
     instruments: metric.Instruments
     may_order: Callable[[], bool]
-    get_renewed: Callable[[], float]
+    get_last_renewal: Callable[[], float]
     get_store_time: Callable[[], float]
-    finals_kept: float
+    final_retention: float
     times: view.TimeBounds
--- a/wigeonhitch/pool/dispatcher.py
+++ b/wigeonhitch/pool/dispatcher.py
@@ -21,7 +21,7 @@
 With the 2 s that its own lease still lasts, work survives 8.5 s. A successor
 waits this long for VMs that it can't reach, so longer isn't better."""
 
-STORE_SILENCE = 1.3
+STORE_OUTAGE_AFTER_SECONDS = 1.3
 """Seconds without a renewal of the leader's lease after which the longer lease
 is given: two renewals have failed."""
 
@@ -43,7 +43,7 @@
 """Seconds after which a worker refuses a start that was on the way: an order
 without an answer is settled by the first answer after it."""
 
-RETRY = 0.1
+RETRY_SECONDS = 0.1
 """Seconds between tries of a call that failed."""
 
 
@@ -54,32 +54,32 @@
     ----------
     pool : core.Pool
         Takes the answers.
-    around : dependencies.Dependencies
+    deps : dependencies.Dependencies
         The calls, and whether this daemon's own lease lasts.
     plan_paces : callable
         Returns the changes of pace to order after a VM's answer.
     wake : callable
         Called when something new is known.
-    wait_until_noted : callable
+    wait_until_committed : callable
         Awaitable; returns once a VM's ends are durable, or it must be held anew.
     """
 
     def __init__(
         self,
         pool: core.Pool,
-        around: dependencies.Dependencies,
+        deps: dependencies.Dependencies,
         plan_paces: Callable[[vm.Vm], list[message.Pace]],
         wake: Callable[[], None],
-        wait_until_noted: Callable[[vm.Vm], Awaitable[None]],
+        wait_until_committed: Callable[[vm.Vm], Awaitable[None]],
     ) -> None:
         self._pool = pool
-        self._around = around
+        self._deps = deps
         self._plan_paces = plan_paces
         self._wake = wake
-        self._wait_until_noted = wait_until_noted
-        self._tell = pool.tell
-        self._granted_long = 0.0
-        self.held: set[str] = set()
+        self._wait_until_committed = wait_until_committed
+        self._log_event = pool.log_event
+        self._last_outage_lease = 0.0
+        self.renewing: set[str] = set()
         """VMs that a task holds."""
 
     def compute_max_granted_lease(self) -> float:
@@ -89,14 +89,14 @@
         granted more than this one.
         """
         now = http.read_clock()
-        recent = now - self._granted_long < OUTAGE_LEASE
+        recent = now - self._last_outage_lease < OUTAGE_LEASE
         granted = OUTAGE_LEASE if recent else WORKER_LEASE
-        return max(granted, self._pool.compute_earlier_lease(now))
+        return max(granted, self._pool.compute_remaining_earlier_lease(now))
 
     def _may_order(self) -> bool:
         """Whether an order may leave at this moment."""
         # A worker may have deposed this leader since the order was decided.
-        return self._around.may_order() and not self._pool.deposed
+        return self._deps.may_order() and not self._pool.deposed
 
     async def send_start(self, start: message.Start) -> None:
         """Send a start, unless this leader's lease has run out meanwhile."""
@@ -108,15 +108,15 @@
             reply = workers.OrderReply(workers.Verdict.NOT_DONE)
         else:
             run.deadline = run.vm.compute_deadline(now, START_DEADLINE)
-            run.vm.note_grant(run.deadline)
+            run.vm.record_lease_deadline(run.deadline)
             order = start.order._replace(deadline=run.deadline)
             entry = run.vm.entry
-            reply = await self._around.workers.start(
+            reply = await self._deps.workers.start(
                 entry.address, entry.id, order, timeout=START_TIMEOUT
             )
         if reply.verdict is workers.Verdict.UNKNOWN:
             run.vm.is_silent = True
-        self._around.instruments.count(
+        self._deps.instruments.count(
             "starts_total", "Starts by verdict.", verdict=reply.verdict.value
         )
         self._pool.on_start(run, reply, http.read_clock())
@@ -128,7 +128,7 @@
         if not self._may_order():
             return
         entry = order.vm.entry
-        reply = await self._around.workers.stop(
+        reply = await self._deps.workers.stop(
             entry.address,
             entry.id,
             order.task,
@@ -136,7 +136,7 @@
             self._pool.fence,
             timeout=START_TIMEOUT,
         )
-        self._tell(
+        self._log_event(
             "stop ordered",
             job=order.task.job,
             task=order.task[1:],
@@ -153,7 +153,7 @@
         if not self._may_order():
             return
         entry = run.vm.entry
-        reply = await self._around.workers.pace(
+        reply = await self._deps.workers.pace(
             entry.address,
             entry.id,
             run.task,
@@ -167,35 +167,35 @@
         elif reply.verdict is workers.Verdict.FENCED:
             self._pool.deposed = True
 
-    async def hold_forever(self, one: vm.Vm) -> None:
+    async def renew_until_gone(self, one: vm.Vm) -> None:
         """Renew a VM's leases and take what it lists, until it is gone."""
         try:
             while not one.gone and not self._pool.deposed:
                 if self._may_order():
-                    await self._hold_once(one)
+                    await self._renew_once(one)
                 else:
-                    await anyio.sleep(RETRY / 2)
+                    await anyio.sleep(RETRY_SECONDS / 2)
         finally:
-            self.held.discard(one.id)
+            self.renewing.discard(one.id)
 
-    async def _hold_once(self, one: vm.Vm) -> None:
+    async def _renew_once(self, one: vm.Vm) -> None:
         now = http.read_clock()
-        silence = now - self._around.get_renewed()
+        silence = now - self._deps.get_last_renewal()
         lease = WORKER_LEASE
-        if silence > STORE_SILENCE:
+        if silence > STORE_OUTAGE_AFTER_SECONDS:
             lease = OUTAGE_LEASE
-            self._granted_long = now
+            self._last_outage_lease = now
         # A silent VM isn't given more time: it may hear what isn't answered, and
         # its tasks could never be taken for ended.
         deadline = None
         if one.knows_clock and not one.is_silent:
             deadline = one.compute_deadline(now, lease)
-            one.note_grant(deadline)
+            one.record_lease_deadline(deadline)
         wait = HOLD_WAIT if one.runs else IDLE_WAIT
         if one.is_silent or not one.answered:
             wait = 0.0
         entry = one.entry
-        reply = await self._around.workers.hold(
+        reply = await self._deps.workers.hold(
             entry.address,
             entry.id,
             self._pool.fence,
@@ -208,8 +208,8 @@
         self._pool.on_hold(one, reply, http.read_clock())
         self._wake()
         if one.is_silent:
-            await anyio.sleep(RETRY)
+            await anyio.sleep(RETRY_SECONDS)
             return
         for order in self._plan_paces(one):
             await self.send_pace(order)
-        await self._wait_until_noted(one)
+        await self._wait_until_committed(one)
--- a/wigeonhitch/pool/health.py
+++ b/wigeonhitch/pool/health.py
@@ -14,7 +14,7 @@
 
 from wigeonhitch.pool import vm
 
-__all__ = ["is_slow", "is_slower_than", "is_stuck"]
+__all__ = ["is_slow", "is_slower_than_peers", "is_stuck"]
 
 STUCK_AFTER = 1.0
 """Seconds without progress after which a run counts as standing still: one and
@@ -32,7 +32,7 @@
 """Times what tasks of the same step seem to need on other VMs: they differ by
 up to a third among themselves, slow VMs take four to seven times as long."""
 
-LEFT_LEAST = 1.0
+MIN_SECONDS_LEFT = 1.0
 """Seconds that must be left for a move to pay, beyond what it takes elsewhere."""
 
 
@@ -45,7 +45,7 @@
         return False
     if run.step.gang or run.step.fills:
         return False  # its pace is others' doing
-    still = run.vm.told_clock - run.moved
+    still = run.vm.reported_clock - run.moved
     if run.step.lasting:
         return run.work < 100 and still > LASTING_STUCK_AFTER
     return still > STUCK_AFTER
@@ -62,10 +62,12 @@
         return False
     whole = 100 / run.rate
     left = (100 - run.work) / run.rate
-    return whole > SLOW_FACTOR * step.estimate and left > step.estimate + LEFT_LEAST
+    return (
+        whole > SLOW_FACTOR * step.estimate and left > step.estimate + MIN_SECONDS_LEFT
+    )
 
 
-def is_slower_than(run: vm.Run, peers: Iterable[vm.Run]) -> bool | None:
+def is_slower_than_peers(run: vm.Run, peers: Iterable[vm.Run]) -> bool | None:
     """Whether a run crawls beside tasks of its step on other VMs.
 
     None if there is nothing to compare it with. Both have a known rate: without
--- a/wigeonhitch/pool/ledger.py
+++ b/wigeonhitch/pool/ledger.py
@@ -20,13 +20,13 @@
 
 __all__ = ["Batch", "Ledger", "Result"]
 
-ENTRIES_A_CALL = 100
+MAX_TRANSACTION_ENTRIES = 100
 """Conditions and writes that the store takes in one transaction."""
 
-JOBS_A_BATCH = 20
+MAX_JOBS_PER_BATCH = 20
 """Jobs in one transaction: 2 entries each, as for all other rows."""
 
-VMS_A_BATCH = 16
+MAX_ROWS_PER_KIND = 16
 """Roster rows, and spent progress rows, in one transaction, if there is room."""
 
 
@@ -38,7 +38,7 @@
     finals: tuple[str, ...]
     vms: tuple[str, ...]
     removed_vms: tuple[str, ...]
-    spent: tuple[str, ...]
+    dropped: tuple[str, ...]
     processed_ends: dict[str, int]
 
 
@@ -47,7 +47,7 @@
 
     done: bool
     deposed: bool = False
-    settled: tuple[str, ...] = ()
+    durable_finals: tuple[str, ...] = ()
     """Final jobs whose end an earlier try has made durable without an answer."""
 
 
@@ -68,18 +68,18 @@
         self.versions: dict[str, int] = {}
         """Versions of progress rows; a job without one has none."""
         self._dirty: dict[str, None] = {}
-        self._new_vms: dict[str, str] = {}
-        self._old_vms: set[str] = set()
+        self._added_vms: dict[str, str] = {}
+        self._gone_vms: set[str] = set()
         self._roster: dict[str, int] = {}
         """Versions of roster rows; a VM without one has none."""
-        self._spent: dict[str, None] = {}
+        self._dropped: dict[str, None] = {}
 
     @property
     def has_work(self) -> bool:
         """Whether anything waits to be written."""
-        return bool(self._dirty or self._new_vms or self._old_vms or self._spent)
+        return bool(self._dirty or self._added_vms or self._gone_vms or self._dropped)
 
-    def mark(self, id: str) -> None:
+    def mark_dirty(self, id: str) -> None:
         """Note that a job's progress must be written."""
         self._dirty[id] = None
 
@@ -88,23 +88,23 @@
 
         Its row is written also where one is known: that may be about to go.
         """
-        self._old_vms.discard(id)
-        self._new_vms[id] = address
+        self._gone_vms.discard(id)
+        self._added_vms[id] = address
 
     def remove_vm(self, id: str) -> None:
         """Note that nothing can run on a VM any more."""
-        self._new_vms.pop(id, None)
+        self._added_vms.pop(id, None)
         if id in self._roster:
-            self._old_vms.add(id)
+            self._gone_vms.add(id)
 
     def on_roster_row(self, id: str, version: int) -> None:
         """Take a roster row as read."""
         self._roster[id] = version
-        self._new_vms.pop(id, None)
+        self._added_vms.pop(id, None)
 
-    def spend(self, ids: Iterable[str]) -> None:
+    def drop_progress(self, ids: Iterable[str]) -> None:
         """Note that progress rows are no longer needed."""
-        self._spent.update(dict.fromkeys(id for id in ids if id in self.versions))
+        self._dropped.update(dict.fromkeys(id for id in ids if id in self.versions))
 
     def collect(
         self,
@@ -114,17 +114,17 @@
         """Return what is to be written now."""
         builder = _Builder(self.pool, self.fence)
         self._dirty = {id: None for id in self._dirty if id in jobs}
-        chosen = list(self._dirty)[:JOBS_A_BATCH]
+        chosen = list(self._dirty)[:MAX_JOBS_PER_BATCH]
         for id in chosen:
             builder.put_progress(jobs[id], self.versions.get(id, 0))
         finals = [id for id in chosen if jobs[id].final is not None]
-        added = tuple(self._new_vms)[: builder.count_free()]
+        added = tuple(self._added_vms)[: builder.count_free()]
         for id in added:
-            builder.put_vm(id, self._new_vms[id], self._roster.get(id, 0))
-        removed = tuple(self._old_vms)[: builder.count_free()]
+            builder.put_vm(id, self._added_vms[id], self._roster.get(id, 0))
+        removed = tuple(self._gone_vms)[: builder.count_free()]
         for id in removed:
             builder.remove(pool_record.ROSTER_TABLE, id, self._roster.get(id, 0))
-        spent = tuple(self._spent)[: builder.count_free()]
+        spent = tuple(self._dropped)[: builder.count_free()]
         for id in spent:
             builder.remove(pool_record.PROGRESS_TABLE, id, self.versions.get(id, 0))
         whole = len(chosen) == len(self._dirty)
@@ -146,19 +146,21 @@
     def on_result(self, batch: Batch, change: rows.Change) -> Result:
         """Take the answer to a batch; what wasn't done is marked again."""
         if change.outcome is table.Outcome.DONE:
-            self._settle(batch, change.version)
+            self._on_committed(batch, change.version)
             return Result(True)
         for id in batch.jobs:
-            self.mark(id)
+            self.mark_dirty(id)
         if change.reason != "conflict":
             return Result(False)
         for row in change.conflicts:
             if row.table == leader.OWNER_TABLE and row.version != self.fence:
                 return Result(False, deposed=True)
-            self._learn(row.table, row.key, row.version if row.value is not None else 0)
+            self._update_version(
+                row.table, row.key, row.version if row.value is not None else 0
+            )
         for one in rows.list_gone(batch.transaction.conditions, change.conflicts):
-            self._learn(one.table, one.key, 0)
-        self._forget_gone(batch.spent)
+            self._update_version(one.table, one.key, 0)
+        self._forget_gone(batch.dropped)
         settled = tuple(
             row.key
             for row in change.conflicts
@@ -166,9 +168,9 @@
         )
         for id in settled:
             self._dirty.pop(id, None)
-        return Result(False, settled=settled)
+        return Result(False, durable_finals=settled)
 
-    def _learn(self, table: str, key: str, version: int) -> None:
+    def _update_version(self, table: str, key: str, version: int) -> None:
         """Take a row's version as the store has it, 0 if there is no row."""
         if table == pool_record.PROGRESS_TABLE:
             self.versions[key] = version
@@ -185,22 +187,22 @@
         """
         for id in spent:
             if not self.versions.get(id):
-                self._spent.pop(id, None)
+                self._dropped.pop(id, None)
                 self.versions.pop(id, None)
-        self._old_vms &= self._roster.keys()
+        self._gone_vms &= self._roster.keys()
 
-    def _settle(self, batch: Batch, version: int) -> None:
+    def _on_committed(self, batch: Batch, version: int) -> None:
         for id in batch.jobs:
             self.versions[id] = version
         for id in batch.vms:
             self._roster[id] = version
-            if self._new_vms.pop(id, None) is None:
-                self._old_vms.add(id)  # the VM has gone while it was written
+            if self._added_vms.pop(id, None) is None:
+                self._gone_vms.add(id)  # the VM has gone while it was written
         for id in batch.removed_vms:
-            self._old_vms.discard(id)
+            self._gone_vms.discard(id)
             self._roster.pop(id, None)
-        for id in batch.spent:
-            self._spent.pop(id, None)
+        for id in batch.dropped:
+            self._dropped.pop(id, None)
             self.versions.pop(id, None)
 
 
@@ -235,7 +237,7 @@
     def count_free(self) -> int:
         """Return how many more rows of a kind may be put or removed."""
         used = len(self._conditions) + len(self.writes)
-        return min(VMS_A_BATCH, (ENTRIES_A_CALL - used) // 2)
+        return min(MAX_ROWS_PER_KIND, (MAX_TRANSACTION_ENTRIES - used) // 2)
 
     def build(self) -> rows.Transaction:
         return rows.Transaction(tuple(self._conditions), tuple(self.writes))
--- a/wigeonhitch/pool/pacing.py
+++ b/wigeonhitch/pool/pacing.py
@@ -13,17 +13,17 @@
 
 __all__ = ["compute_pace"]
 
-NEAR_TARGET = 0.85
+SLOW_DOWN_SHARE = 0.85
 """Share of the target from which filling tasks are slowed down: the reported
 tail is a rough figure of the last half second."""
 
-EASY_TARGET = 0.6
+SPEED_UP_SHARE = 0.6
 """Share of the target below which they are given more."""
 
-STEP_UP = 15
+SPEED_UP_PERCENT = 15
 """Percent given back with each hold: from a stop to full speed in 4 s."""
 
-FLOOR = 10
+MIN_PACE_PERCENT = 10
 """Percent below which a filling task is stopped from working at all."""
 
 
@@ -38,9 +38,9 @@
         Tail in seconds and run of each serving task of the VM.
     """
     worst = max((tail / run.step.target for tail, run in loads), default=0.0)
-    if worst > NEAR_TARGET:
+    if worst > SLOW_DOWN_SHARE:
         slower = int(pace / 2) if worst <= 1.0 else int(pace / 4)
-        return slower if slower >= FLOOR else 0
-    if worst < EASY_TARGET:
-        return min(100, pace + STEP_UP)
+        return slower if slower >= MIN_PACE_PERCENT else 0
+    if worst < SPEED_UP_SHARE:
+        return min(100, pace + SPEED_UP_PERCENT)
     return pace
--- a/wigeonhitch/pool/placement.py
+++ b/wigeonhitch/pool/placement.py
@@ -18,17 +18,17 @@
 
     def __init__(self, vms: Iterable[vm.Vm], now: float) -> None:
         opened = [one for one in vms if one.is_open(now)]
-        good = [one for one in opened if not one.is_set_aside(now)]
+        good = [one for one in opened if not one.is_quarantined(now)]
         # Never set aside more than half of a pool: what fails on most VMs is
         # the work's own fault, and an empty pool serves nobody.
         self.vms = good if 2 * len(good) >= len(opened) else opened
-        self.free = {one.id: one.compute_free() for one in self.vms}
-        self.widest = max((room.cpu for room in self.free.values()), default=-1)
+        self.free = {one.id: one.compute_free_room() for one in self.vms}
+        self.max_free_cpu = max((room.cpu for room in self.free.values()), default=-1)
         """At least the most free processors on any VM."""
-        self.counts: dict[tuple[str, str, int, int], int] = {}
+        self.step_counts: dict[tuple[str, str, int, int], int] = {}
         for one in self.vms:
             for task in one.runs:
-                self._count(one, task, 1)
+                self._add_to_count(one, task, 1)
 
     def choose(
         self,
@@ -58,17 +58,19 @@
             and (allowed is None or one.id in allowed)
         ]
         if not fitting:
-            self.widest = max((room.cpu for room in self.free.values()), default=-1)
+            self.max_free_cpu = max(
+                (room.cpu for room in self.free.values()), default=-1
+            )
             return None
-        chosen = min(fitting, key=lambda one: self._rate(one, task, step, avoid))
-        self.take(chosen, task, step)
+        chosen = min(fitting, key=lambda one: self._score(one, task, step, avoid))
+        self.reserve(chosen, task, step)
         return chosen
 
-    def take(self, one: vm.Vm, task: model.Task, step: model.Step) -> None:
+    def reserve(self, one: vm.Vm, task: model.Task, step: model.Step) -> None:
         """Take a task's room from a VM."""
         self._change(one, task, step, 1)
 
-    def give_back(self, one: vm.Vm, task: model.Task, step: model.Step) -> None:
+    def release(self, one: vm.Vm, task: model.Task, step: model.Step) -> None:
         """Give a task's room back."""
         self._change(one, task, step, -1)
 
@@ -88,7 +90,7 @@
             return False
         return task not in one.runs
 
-    def _rate(
+    def _score(
         self, one: vm.Vm, task: model.Task, step: model.Step, avoid: str
     ) -> tuple[float, ...]:
         far = bool(step.data_rack) and step.data_rack not in one.entry.labels
@@ -108,11 +110,11 @@
             memory - sign * room.memory,
             gpus - sign * room.gpus,
         )
-        self._count(one, task, sign)
+        self._add_to_count(one, task, sign)
 
-    def _count(self, one: vm.Vm, task: model.Task, sign: int) -> None:
+    def _add_to_count(self, one: vm.Vm, task: model.Task, sign: int) -> None:
         key = (one.id, task.job, task.occurrence, task.step)
-        self.counts[key] = self.counts.get(key, 0) + sign
+        self.step_counts[key] = self.step_counts.get(key, 0) + sign
 
     def _get_count(self, one: vm.Vm, task: model.Task) -> int:
-        return self.counts.get((one.id, task.job, task.occurrence, task.step), 0)
+        return self.step_counts.get((one.id, task.job, task.occurrence, task.step), 0)
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -26,12 +26,12 @@
 
 __all__ = ["Planner"]
 
-STOP_AGAIN = 1.2
+STOP_RETRY_SECONDS = 1.2
 """Seconds after which a stop is sent again while the run is still listed; a
 stop takes up to 0.9 s."""
 
 
-SCAN_PERIOD = 0.1
+SCAN_PERIOD_SECONDS = 0.1
 """Seconds between looks at all runs for those to be stopped, unless a job, a VM
 or a closing has changed: a pool of 40 VMs has some 600 runs."""
 
@@ -50,36 +50,36 @@
         self.unmet = 0
         """Thousandths of a core that jobs in time ask for and don't get."""
         self._arrivals = demand.Arrivals(pool.times.move_seconds)
-        self._shown_room = 0
-        self._open: dict[str, list[model.Task]] = {}
+        self._published_capacity = 0
+        self._open_tasks: dict[str, list[model.Task]] = {}
         self._next_due: dict[str, float] = {}
-        self._figures: dict[str, priority.Figures] = {}
+        self._sort_inputs: dict[str, priority.SortInputs] = {}
         self._next_scan = 0.0
-        self._lacking = 0
+        self._missing_vms = 0
         """VMs that lasting tasks lack to be apart."""
-        self._listed_elsewhere: frozenset[model.Task] = frozenset()
+        self._orphaned_tasks: frozenset[model.Task] = frozenset()
         """Tasks of which a VM lists a run that isn't this leader's."""
 
-    def plan(self, now: float, wall: float) -> list[message.Start | message.Stop]:
+    def plan(self, now: float, wall_time: float) -> list[message.Start | message.Stop]:
         """Return the orders to give now; their runs count as started.
 
         Parameters
         ----------
         now : float
             This daemon's steady time.
-        wall : float
+        wall_time : float
             Seconds since 1970.
         """
-        self.pool.wall = wall
-        self.pool.expire(now)
-        for work in self.pool.handed_in:
-            self._arrivals.note(work, now)
-        self.pool.handed_in.clear()
-        self._refresh(wall)
-        orders: list[message.Start | message.Stop] = self._stop_strays(now)
+        self.pool.wall_time = wall_time
+        self.pool.expire_leases(now)
+        for work in self.pool.submitted_work:
+            self._arrivals.record(work, now)
+        self.pool.submitted_work.clear()
+        self._refresh_jobs(wall_time)
+        orders: list[message.Start | message.Stop] = self._stop_orphans(now)
         table = placement.Placer(self.pool.vms.values(), now)
         orders.extend(self._plan_stops(table, now))
-        orders.extend(self._plan_starts(table, now, wall))
+        orders.extend(self._plan_starts(table, now, wall_time))
         return orders
 
     def plan_paces(self, one: vm.Vm) -> list[message.Pace]:
@@ -94,57 +94,57 @@
                 changes.append(message.Pace(run, pace))
         return changes
 
-    def is_burst(self, now: float) -> bool:
+    def exceeds_published_capacity(self, now: float) -> bool:
         """Whether more is handed in than the VMs last shown keep up with."""
-        return 1000 * self._arrivals.compute_rate(now) > self._shown_room
+        return 1000 * self._arrivals.compute_rate(now) > self._published_capacity
 
-    def build_status(self, now: float, wall: float) -> pool_record.PoolStatus:
+    def build_status(self, now: float, wall_time: float) -> pool_record.PoolStatus:
         """Return what other daemons are shown."""
         arriving = self._arrivals.compute_rate(now)
-        needed = demand.compute_demand(self._figures.values(), arriving, wall)
+        needed = demand.compute_demand(self._sort_inputs.values(), arriving, wall_time)
         made = status.build_status(self.pool, self.unmet, needed)
-        self._shown_room = made.batch_capacity
+        self._published_capacity = made.batch_capacity
         return made
 
-    def count_empty(self) -> int:
+    def count_empty_vms(self) -> int:
         """Return how many VMs that are to be vacated hold nothing any more."""
-        return len(status.list_empty(self.pool))
+        return len(status.list_empty_vms(self.pool))
 
     # -- open tasks
 
-    def _refresh(self, wall: float) -> None:
+    def _refresh_jobs(self, wall_time: float) -> None:
         """Compute the open tasks of changed jobs anew; settle cancelled ones."""
-        due = [id for id, when in self._next_due.items() if when <= wall]
-        changed, self.pool.changed = self.pool.changed | set(due), set()
+        due = [id for id, when in self._next_due.items() if when <= wall_time]
+        changed, self.pool.changed_jobs = self.pool.changed_jobs | set(due), set()
         for id in changed:
             self._next_due.pop(id, None)
-            self._open.pop(id, None)
-            self._figures.pop(id, None)
+            self._open_tasks.pop(id, None)
+            self._sort_inputs.pop(id, None)
             state = self.pool.jobs.get(id)
             if state is None:
                 continue
             if state.cancelled or state.final is not None:
-                self._settle(state)
+                self._finalize_cancelled(state)
                 continue
-            self._open[id] = list(state.list_open(wall))
-            self._figures[id] = self.pool.get_figures(state)
-            if state.job.times and (when := state.compute_next_due(wall)):
+            self._open_tasks[id] = list(state.list_open_tasks(wall_time))
+            self._sort_inputs[id] = self.pool.get_figures(state)
+            if state.job.times and (when := state.compute_next_due(wall_time)):
                 self._next_due[id] = when
 
-    def _settle(self, state: progress.Progress) -> None:
+    def _finalize_cancelled(self, state: progress.Progress) -> None:
         id = state.job.id
         if any(task.job == id for task in self.pool.live):
             return
-        if state.settled:
+        if state.is_final_durable:
             self.pool.forget_job(id)
             return
         if state.final is not None:
             return
         if self.pool.may_have_run(state):
-            self.pool.changed.add(id)
+            self.pool.changed_jobs.add(id)
             return
         state.final = model.JobState.CANCELLED
-        self.pool.ledger.mark(id)
+        self.pool.ledger.mark_dirty(id)
 
     # -- stops
 
@@ -152,35 +152,37 @@
         if now < self._next_scan and not self.pool.must_scan:
             return []
         self.pool.must_scan = False
-        self._next_scan = now + SCAN_PERIOD
+        self._next_scan = now + SCAN_PERIOD_SECONDS
         stops = []
         for run in list(self.pool.live.values()):
             if run.state is vm.RunState.STOPPING:
-                if now - run.stop_sent > STOP_AGAIN:
+                if now - run.stop_sent > STOP_RETRY_SECONDS:
                     stops.append(self._stop(run, now))
             elif run.state is not vm.RunState.RUNNING:
                 continue
             elif (
                 not self.pool.is_wanted(run)
                 or self._must_vacate(run, table)
-                or self._is_sick(run, table, now)
+                or self._must_restart_elsewhere(run, table, now)
             ):
                 stops.append(self._stop(run, now))
         return stops
 
-    def _is_sick(self, run: vm.Run, table: placement.Placer, now: float) -> bool:
+    def _must_restart_elsewhere(
+        self, run: vm.Run, table: placement.Placer, now: float
+    ) -> bool:
         """Whether a run is to begin again elsewhere for its VM's sake."""
-        if run.task in self.pool.moved:
+        if run.task in self.pool.relocated:
             return False
         stuck = health.is_stuck(run)
         if not stuck and not self._is_slow(run, now):
             return False
         what = "stands still" if stuck else "slow"
-        self.pool.note_sick(run, what, now)
+        self.pool.record_degraded_run(run, what, now)
         elsewhere = table.choose(run.task, run.step, avoid=run.vm.id)
-        if elsewhere in (None, run.vm) and not (stuck and run.vm.is_set_aside(now)):
+        if elsewhere in (None, run.vm) and not (stuck and run.vm.is_quarantined(now)):
             return False
-        self.pool.moved.add(run.task)
+        self.pool.relocated.add(run.task)
         self.pool.failed_on[run.task] = run.vm.id
         return True
 
@@ -188,17 +190,17 @@
         """Whether a run crawls for its VM's sake, not its job's."""
         if not health.is_slow(run, now):
             return False
-        run.vm.note_slow(run.task.job, now)
+        run.vm.record_slow_job(run.task.job, now)
         peers = [one for one in self.pool.live.values() if one.task[:3] == run.task[:3]]
-        slower = health.is_slower_than(run, peers)
+        slower = health.is_slower_than_peers(run, peers)
         return run.vm.is_slow(now) if slower is None else slower
 
-    def _stop_strays(self, now: float) -> list[message.Start | message.Stop]:
+    def _stop_orphans(self, now: float) -> list[message.Start | message.Stop]:
         stops: list[message.Start | message.Stop] = []
         for one in self.pool.vms.values():
-            for (task, number), sent in one.strays.items():
-                if now - sent > STOP_AGAIN:
-                    one.strays[task, number] = now
+            for (task, number), sent in one.orphans.items():
+                if now - sent > STOP_RETRY_SECONDS:
+                    one.orphans[task, number] = now
                     stops.append(message.Stop(one, task, number))
         return stops
 
@@ -217,7 +219,7 @@
         one = run.vm
         if not run.step.lasting or not (one.closed or one.entry.leaving):
             return False
-        others = self.pool.count_away(run.task.job, run.task.step)
+        others = self.pool.count_unavailable(run.task.job, run.task.step)
         if not run.is_at_work:
             others -= 1  # it may have come to work since it was last listed
         if others + 1 > run.step.max_unavailable and not one.entry.leaving:
@@ -227,14 +229,16 @@
     # -- starts
 
     def _plan_starts(
-        self, table: placement.Placer, now: float, wall: float
+        self, table: placement.Placer, now: float, wall_time: float
     ) -> list[message.Start]:
         starts: list[message.Start] = []
         self.unmet = 0
-        self._lacking = 0
-        self._listed_elsewhere = self.pool.list_stray_tasks()
+        self._missing_vms = 0
+        self._orphaned_tasks = self.pool.list_orphaned_tasks()
         keyed = [
-            (self._get_key(id, wall), id) for id, tasks in self._open.items() if tasks
+            (self._get_key(id, wall_time), id)
+            for id, tasks in self._open_tasks.items()
+            if tasks
         ]
         for key, id in sorted(keyed):
             state = self.pool.jobs[id]
@@ -243,21 +247,21 @@
             left = self._place_job(table, state, now, starts)
             if key.group <= priority.IN_TIME:
                 self.unmet += left
-        self.unmet = max(self.unmet, self._lacking * self._find_size())
+        self.unmet = max(self.unmet, self._missing_vms * self._get_largest_vm_cpu())
         return starts
 
-    def _find_size(self) -> int:
+    def _get_largest_vm_cpu(self) -> int:
         """Return the processors of the largest VM."""
         return max((one.entry.room.cpu for one in self.pool.vms.values()), default=0)
 
     def _is_free(self, task: model.Task) -> bool:
         """Whether no run of a task is known, be it ours or one being stopped."""
-        return task not in self.pool.live and task not in self._listed_elsewhere
+        return task not in self.pool.live and task not in self._orphaned_tasks
 
-    def _get_key(self, id: str, wall: float) -> priority.Key:
+    def _get_key(self, id: str, wall_time: float) -> priority.SortKey:
         queue = self.pool.jobs[id].job.queue
         mean_work = self.pool.get_mean_work(queue)
-        return priority.compute_key(self._figures[id], wall, mean_work)
+        return priority.compute_sort_key(self._sort_inputs[id], wall_time, mean_work)
 
     def _place_job(
         self,
@@ -270,11 +274,11 @@
         unmet = 0
         full: set[tuple[int, int]] = set()
         left: collections.Counter[int] = collections.Counter()
-        for task in self._open[state.job.id]:
+        for task in self._open_tasks[state.job.id]:
             step = state.job.steps[task.step]
             if not self._is_free(task):
                 continue
-            if task[1:3] in full or step.reserved.cpu > table.widest:
+            if task[1:3] in full or step.reserved.cpu > table.max_free_cpu:
                 left[task.step] += 1
                 unmet += step.reserved.cpu
                 continue
@@ -291,10 +295,10 @@
             full.add(task[1:3])
             left[task.step] += 1
             unmet += step.reserved.cpu
-        self._note_lacking(state, left)
+        self._record_missing_vms(state, left)
         return unmet
 
-    def _note_lacking(
+    def _record_missing_vms(
         self, state: progress.Progress, left: collections.Counter[int]
     ) -> None:
         """Take note of the VMs that lasting tasks lack to be apart.
@@ -305,7 +309,7 @@
             step = state.job.steps[number]
             if step.lasting and step.spread:
                 vms = math.ceil(count / step.spread)
-                self._lacking = max(self._lacking, vms)
+                self._missing_vms = max(self._missing_vms, vms)
 
     def _place_task(
         self,
@@ -321,7 +325,7 @@
         chosen = table.choose(task, step, avoid=avoid, allowed=allowed)
         if chosen is None:
             return None
-        number = self.pool.next_number(task)
+        number = self.pool.next_run_number(task)
         held = tickets[chosen.id] if tickets else ""
         return self._start(state, task, number, chosen, now, held)
 
@@ -350,9 +354,9 @@
         tickets = self._get_tickets(state, first, now)
         allowed = None if tickets is None else frozenset(tickets)
         for rack in racks:
-            chosen = _choose_all(table, tasks, step, rack, allowed)
+            chosen = _choose_gang_vms(table, tasks, step, rack, allowed)
             if chosen:
-                number = self.pool.next_gang_number(tasks)
+                number = self.pool.next_gang_run_number(tasks)
                 for task, one in zip(tasks, chosen, strict=True):
                     held = tickets[one.id] if tickets else ""
                     starts.append(self._start(state, task, number, one, now, held))
@@ -378,7 +382,7 @@
         return message.Start(run, start)
 
 
-def _choose_all(
+def _choose_gang_vms(
     table: placement.Placer,
     tasks: list[model.Task],
     step: model.Step,
@@ -391,7 +395,7 @@
         one = table.choose(task, step, rack=rack, allowed=allowed)
         if one is None:
             for taken, earlier in zip(chosen, tasks, strict=False):
-                table.give_back(taken, earlier, step)
+                table.release(taken, earlier, step)
             return []
         chosen.append(one)
     return chosen
--- a/wigeonhitch/pool/priority.py
+++ b/wigeonhitch/pool/priority.py
@@ -13,27 +13,27 @@
 from wigeonhitch.jobs import model, progress
 
 __all__ = [
-    "Figures",
-    "Key",
+    "SortInputs",
+    "SortKey",
     "compute_due",
-    "compute_figures",
-    "compute_key",
-    "compute_worth",
+    "compute_sort_inputs",
+    "compute_sort_key",
+    "compute_value",
 ]
 
-BASE_WORTH = 0.3
+BASE_VALUE = 0.3
 """Part of a job's worth that doesn't depend on its size (users' rules)."""
 
-LATE_MOST = 3.0
+MAX_LATENESS = 3.0
 """A job is worth nothing after this many times its objective (users' rules)."""
 
-WORTH_MOST = 4.0
+MAX_JOB_VALUE = 4.0
 """A job is worth at most this many times its kind's mean (users' rules)."""
 
-LASTING, IN_TIME, LATE, WORTHLESS = 0, 1, 2, 3
+LASTING, IN_TIME, LATE, EXPIRED = 0, 1, 2, 3
 
 
-class Key(NamedTuple):
+class SortKey(NamedTuple):
     """Sorts jobs: lasting ones, those that can be in time, late ones, others."""
 
     group: int
@@ -43,69 +43,69 @@
     accepted: float
 
 
-class Figures(NamedTuple):
+class SortInputs(NamedTuple):
     """What the key of a job is made of.
 
     ``due`` and ``last`` are the times, since 1970, up to which it is in time
-    and worth anything; work is in core-seconds, ``chain_left`` in seconds.
+    and worth anything; work is in core-seconds, ``critical_path_left`` in seconds.
     """
 
     is_lasting: bool
     priority: int
     accepted: float
     due: float
-    last: float
+    expiry: float
     work: float
     work_left: float
-    chain_left: float
+    critical_path_left: float
 
 
-def compute_worth(work: float, mean_work: float) -> float:
+def compute_value(work: float, mean_work: float) -> float:
     """Return what a job is worth, in units of its kind's mean."""
     if mean_work <= 0:
         return 1.0
     share = work / mean_work
-    return min(WORTH_MOST, BASE_WORTH + (1 - BASE_WORTH) * share)
+    return min(MAX_JOB_VALUE, BASE_VALUE + (1 - BASE_VALUE) * share)
 
 
 def compute_due(
     job: model.Job, terms: model.Queue | model.Terms, accepted: float
 ) -> float:
     """Return when the job should be done, seconds since 1970."""
-    return accepted + terms.stretch * job.compute_chain() + terms.objective
+    return accepted + terms.stretch * job.compute_critical_path() + terms.objective
 
 
-def compute_figures(
+def compute_sort_inputs(
     state: progress.Progress, terms: model.Queue | model.Terms
-) -> Figures:
+) -> SortInputs:
     """Return what the key of a job is made of; it holds until the job changes."""
     job = state.job
     accepted = max(job.first_due, state.accepted) if job.times else state.accepted
     due = compute_due(job, terms, accepted)
-    return Figures(
+    return SortInputs(
         job.is_lasting,
         terms.priority,
         accepted,
         due,
-        accepted + LATE_MOST * (due - accepted),
+        accepted + MAX_LATENESS * (due - accepted),
         job.compute_work(),
         _compute_work_left(state),
-        _compute_chain_left(state),
+        _compute_critical_path_left(state),
     )
 
 
-def compute_key(figures: Figures, wall: float, mean_work: float) -> Key:
+def compute_sort_key(inputs: SortInputs, wall_time: float, mean_work: float) -> SortKey:
     """Return the sort key of a job at a time of day."""
-    if figures.is_lasting:
-        return Key(LASTING, figures.priority, 0.0, figures.accepted)
-    cost = figures.work_left / compute_worth(figures.work, mean_work)
-    end = wall + figures.chain_left
-    group = WORTHLESS
-    if end <= figures.due:
+    if inputs.is_lasting:
+        return SortKey(LASTING, inputs.priority, 0.0, inputs.accepted)
+    cost = inputs.work_left / compute_value(inputs.work, mean_work)
+    end = wall_time + inputs.critical_path_left
+    group = EXPIRED
+    if end <= inputs.due:
         group = IN_TIME
-    elif end <= figures.last:
+    elif end <= inputs.expiry:
         group = LATE
-    return Key(group, figures.priority, cost, figures.accepted)
+    return SortKey(group, inputs.priority, cost, inputs.accepted)
 
 
 def _compute_work_left(state: progress.Progress) -> float:
@@ -116,7 +116,7 @@
     return left
 
 
-def _compute_chain_left(state: progress.Progress) -> float:
+def _compute_critical_path_left(state: progress.Progress) -> float:
     ends: list[float] = []
     for number, step in enumerate(state.job.steps):
         before = max((ends[one] for one in step.after), default=0.0)
--- a/wigeonhitch/pool/runner.py
+++ b/wigeonhitch/pool/runner.py
@@ -25,17 +25,17 @@
 
 __all__ = ["Runner"]
 
-COMMIT_TIMEOUT = 1.0
+COMMIT_TIMEOUT_SECONDS = 1.0
 """Seconds for one transaction: 4 ms as a rule, 0.25 s where the store is slow."""
 
-TIDY_PERIOD = 0.25
+COMPACTION_PERIOD_SECONDS = 0.25
 """Seconds between transactions on rows of final jobs; 20 rows go in each, and a
 pool completes some three jobs a second."""
 
-QUICK = 0.05
+QUICK_COMMIT_SECONDS = 0.05
 """Seconds up to which a transaction's answer counts as quick."""
 
-RETRY = 0.1
+RETRY_SECONDS = 0.1
 """Seconds between tries of a call that failed."""
 
 MIN_ROUND_INTERVAL = 0.008
@@ -45,20 +45,20 @@
 MAX_ROUND_INTERVAL = 0.25
 """Seconds between two rounds at most: lapses and due times are found by time."""
 
-NOTED_WAIT = 0.6
+COMMIT_WAIT_SECONDS = 0.6
 """Seconds to wait for the commit of a VM's ends before it is held anew."""
 
-ASK_PERIOD = 0.02
+TICKET_POLL_SECONDS = 0.02
 """Seconds between looks at which tickets are wanted."""
 
-ASK_TIMEOUT = 2.0
+TICKET_TIMEOUT_SECONDS = 2.0
 """Seconds for one call for tickets, which waits for others of this daemon."""
 
-BOARD_PERIOD = 0.5
+STATUS_PERIOD_SECONDS = 0.5
 """Seconds between two writings of the board, if it changed; readers may see
 counts up to 2 s old."""
 
-BOARD_GAP = 0.1
+MIN_STATUS_INTERVAL_SECONDS = 0.1
 """The same where VMs have become empty or a burst has begun: each tenth of a
 second of a burst of 4.5 s counts for the VMs that are sent."""
 
@@ -69,32 +69,32 @@
     def __init__(
         self,
         owner: leader_record.Owner,
-        around: dependencies.Dependencies,
+        deps: dependencies.Dependencies,
         now: float,
     ) -> None:
         self.owner = owner
-        self._term = term.Term(around.may_order)
-        around = around._replace(may_order=self._term.may_order)
-        self.around = around
+        self._term = term.Term(deps.may_order)
+        deps = deps._replace(may_order=self._term.may_order)
+        self.deps = deps
         self.pool = core.Pool(
-            owner.pool, owner.version, owner.epoch, around.times, now, self._tell
+            owner.pool, owner.version, owner.epoch, deps.times, now, self._log_event
         )
         self.planner = planner.Planner(self.pool)
         self._scope = anyio.CancelScope()
         self._wake_round = anyio.Event()
         self._wake_commit = anyio.Event()
-        self._noted = anyio.Event()
-        self._wake_board = anyio.Event()
-        self._urgent: tuple[bool, bool, int] = (False, False, 0)
+        self._committed = anyio.Event()
+        self._wake_status = anyio.Event()
+        self._status_triggers: tuple[bool, bool, int] = (False, False, 0)
         self._commits = log.Dependency("commit of ends")
         self._is_store_quick = True
-        self._source = source.Source(self.pool, around.store, self._wake)
-        self._caller = dispatcher.Dispatcher(
+        self._source = source.Source(self.pool, deps.store, self._wake)
+        self._dispatcher = dispatcher.Dispatcher(
             self.pool,
-            around,
+            deps,
             self.planner.plan_paces,
             self._wake,
-            self._wait_until_noted,
+            self._wait_until_committed,
         )
 
     # -- events from the daemon
@@ -120,7 +120,7 @@
 
     def compute_max_granted_lease(self) -> float:
         """Return the longest lease that a worker may still have of this leader."""
-        return self._caller.compute_max_granted_lease()
+        return self._dispatcher.compute_max_granted_lease()
 
     def stop(self) -> None:
         """Give up leading; nothing is ordered afterwards."""
@@ -135,58 +135,60 @@
             after = await self._source.load()
             async with anyio.create_task_group() as group:
                 group.start_soon(self._source.follow, after)
-                group.start_soon(self._commit_forever)
-                group.start_soon(self._show_board)
-                group.start_soon(self._ask_forever)
-                group.start_soon(self._tidy_forever)
-                await self._decide_forever(group)
+                group.start_soon(self._run_commits)
+                group.start_soon(self._publish_status)
+                group.start_soon(self._request_tickets)
+                group.start_soon(self._compact_rows)
+                await self._run_rounds(group)
                 group.cancel_scope.cancel()
 
     # -- decisions
 
-    async def _decide_forever(self, group: anyio.abc.TaskGroup) -> None:
+    async def _run_rounds(self, group: anyio.abc.TaskGroup) -> None:
         while not self.pool.deposed:
             self._wake_round = anyio.Event()
-            if self.around.may_order():
-                self._decide(group)
+            if self.deps.may_order():
+                self._run_round(group)
             if self.pool.ledger.has_work:
                 self._wake_commit.set()
             await anyio.sleep(MIN_ROUND_INTERVAL)
             with anyio.move_on_after(MAX_ROUND_INTERVAL):
                 await self._wake_round.wait()
 
-    def _decide(self, group: anyio.abc.TaskGroup) -> None:
+    def _run_round(self, group: anyio.abc.TaskGroup) -> None:
         for one in list(self.pool.vms.values()):
-            if one.id not in self._caller.held:
-                self._caller.held.add(one.id)
-                group.start_soon(self._caller.hold_forever, one)
+            if one.id not in self._dispatcher.renewing:
+                self._dispatcher.renewing.add(one.id)
+                group.start_soon(self._dispatcher.renew_until_gone, one)
         orders = self.planner.plan(http.read_clock(), time.time())
         urgent = (
             self.planner.unmet > 0,
-            self.planner.is_burst(http.read_clock()),
-            self.planner.count_empty(),
+            self.planner.exceeds_published_capacity(http.read_clock()),
+            self.planner.count_empty_vms(),
         )
-        if urgent != self._urgent:
-            self._urgent = urgent
-            self._wake_board.set()
+        if urgent != self._status_triggers:
+            self._status_triggers = urgent
+            self._wake_status.set()
         for order in orders:
             if isinstance(order, message.Start):
-                group.start_soon(self._caller.send_start, order)
+                group.start_soon(self._dispatcher.send_start, order)
             else:
-                group.start_soon(self._caller.send_stop, order)
+                group.start_soon(self._dispatcher.send_stop, order)
 
-    async def _ask_forever(self) -> None:
+    async def _request_tickets(self) -> None:
         """Ask for tickets, one call at a time, as the service takes them."""
         while True:
-            step = self.pool.tickets.take_wanted()
+            step = self.pool.tickets.pop_requested()
             if step is None:
-                await anyio.sleep(ASK_PERIOD)
+                await anyio.sleep(TICKET_POLL_SECONDS)
                 continue
             now = http.read_clock()
-            named = ticket.choose_named(self.pool.vms.values(), now)
-            opinion = await self.around.advice.ask(step, named, timeout=ASK_TIMEOUT)
+            named = ticket.select_vms(self.pool.vms.values(), now)
+            opinion = await self.deps.advice.ask(
+                step, named, timeout=TICKET_TIMEOUT_SECONDS
+            )
             self.pool.tickets.on_opinion(step, opinion, now)
-            self._tell(
+            self._log_event(
                 "tickets asked for",
                 job=step.job,
                 step=step[1:],
@@ -196,21 +198,21 @@
             )
             self._wake()
 
-    async def _wait_until_noted(self, one: vm.Vm) -> None:
+    async def _wait_until_committed(self, one: vm.Vm) -> None:
         """Wait for the commit of seen ends, but not beyond the next renewal."""
-        with anyio.move_on_after(NOTED_WAIT):
+        with anyio.move_on_after(COMMIT_WAIT_SECONDS):
             while one.committed_end < one.processed_end:
                 self._wake_commit.set()
-                await self._noted.wait()
+                await self._committed.wait()
 
     # -- commits
 
-    async def _commit_forever(self) -> None:
+    async def _run_commits(self) -> None:
         while True:
             await self._wake_commit.wait()
             self._wake_commit = anyio.Event()
             if not await self._commit_once():
-                await anyio.sleep(RETRY)
+                await anyio.sleep(RETRY_SECONDS)
                 self._wake_commit.set()
             elif self.pool.ledger.has_work:
                 self._wake_commit.set()
@@ -218,63 +220,67 @@
     async def _commit_once(self) -> bool:
         batch = self.pool.ledger.collect(self.pool.jobs, self.pool.vms)
         if not batch.transaction.writes:
-            self._note(batch.processed_ends)
+            self._record_commit(batch.processed_ends)
             return True
-        change = await self.around.store.commit(
-            batch.transaction, timeout=COMMIT_TIMEOUT
+        change = await self.deps.store.commit(
+            batch.transaction, timeout=COMMIT_TIMEOUT_SECONDS
         )
         answered = change.outcome is table.Outcome.DONE
-        self._is_store_quick = answered and change.received - change.sent < QUICK
+        self._is_store_quick = (
+            answered and change.received - change.sent < QUICK_COMMIT_SECONDS
+        )
         result = self.pool.ledger.on_result(batch, change)
         if result.deposed:
-            self._tell("another leader's claim was found", fence=self.pool.fence)
+            self._log_event("another leader's claim was found", fence=self.pool.fence)
             self.pool.deposed = True
             self._wake()
         conflict = change.reason == "conflict"
         self._commits.note(result.done or conflict, change.reason, pool=self.owner.pool)
         if conflict:
             listed = {row.key: row.version for row in change.conflicts}
-            self._tell("commit of ends conflicts", fence=self.pool.fence, found=listed)
+            self._log_event(
+                "commit of ends conflicts", fence=self.pool.fence, found=listed
+            )
         if not result.done:
-            self.pool.on_settled(result.settled)
+            self.pool.on_finals_durable(result.durable_finals)
             return conflict
         for id in batch.vms:
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
-        self.pool.on_settled(batch.finals)
-        self._note(batch.processed_ends)
+        self.pool.on_finals_durable(batch.finals)
+        self._record_commit(batch.processed_ends)
         if batch.vms or batch.finals:
             self._wake()
         return True
 
-    def _note(self, seen: dict[str, int]) -> None:
+    def _record_commit(self, seen: dict[str, int]) -> None:
         for id, number in seen.items():
             one = self.pool.vms.get(id)
             if one is not None:
                 one.committed_end = max(one.committed_end, number)
-        self._noted.set()
-        self._noted = anyio.Event()
+        self._committed.set()
+        self._committed = anyio.Event()
 
-    async def _tidy_forever(self) -> None:
+    async def _compact_rows(self) -> None:
         """Shrink and remove rows of final jobs while the store is quick."""
         while True:
-            await anyio.sleep(TIDY_PERIOD)
-            if not self.around.may_order() or not self._is_store_quick:
+            await anyio.sleep(COMPACTION_PERIOD_SECONDS)
+            if not self.deps.may_order() or not self._is_store_quick:
                 continue
-            store_time = self.around.get_store_time()
-            work = self.pool.tidier.collect(store_time, self.around.finals_kept)
+            store_time = self.deps.get_store_time()
+            work = self.pool.compactor.collect(store_time, self.deps.final_retention)
             if work is None:
                 continue
-            change = await self.around.store.commit(
-                work.transaction, timeout=COMMIT_TIMEOUT
+            change = await self.deps.store.commit(
+                work.transaction, timeout=COMMIT_TIMEOUT_SECONDS
             )
-            self.pool.ledger.spend(self.pool.tidier.on_result(work, change))
+            self.pool.ledger.drop_progress(self.pool.compactor.on_result(work, change))
 
-    async def _show_board(self) -> None:
+    async def _publish_status(self) -> None:
         shown = None
         while True:
             board = self.planner.build_status(http.read_clock(), time.time())
-            if board != shown and self.around.may_order():
+            if board != shown and self.deps.may_order():
                 owner = leader_record.expect_owner(self.owner.pool, self.owner.version)
                 write = rows.Write(
                     pool_record.STATUS_TABLE,
@@ -282,15 +288,15 @@
                     pool_record.STATUS_TABLE,
                     pool_record.write_status(board),
                 )
-                change = await self.around.store.commit(
-                    rows.Transaction((owner,), (write,)), timeout=COMMIT_TIMEOUT
+                change = await self.deps.store.commit(
+                    rows.Transaction((owner,), (write,)), timeout=COMMIT_TIMEOUT_SECONDS
                 )
                 if change.outcome is table.Outcome.DONE:
                     shown = board
-            self._wake_board = anyio.Event()
-            await anyio.sleep(BOARD_GAP)
-            with anyio.move_on_after(BOARD_PERIOD):
-                await self._wake_board.wait()
+            self._wake_status = anyio.Event()
+            await anyio.sleep(MIN_STATUS_INTERVAL_SECONDS)
+            with anyio.move_on_after(STATUS_PERIOD_SECONDS):
+                await self._wake_status.wait()
 
     # -- small
 
@@ -299,5 +305,5 @@
         if self.pool.ledger.has_work:
             self._wake_commit.set()
 
-    def _tell(self, what: str, **fields: object) -> None:
+    def _log_event(self, what: str, **fields: object) -> None:
         log.log_change(what, pool=self.owner.pool, **fields)
--- a/wigeonhitch/pool/source.py
+++ b/wigeonhitch/pool/source.py
@@ -23,7 +23,7 @@
 FEED_SLACK = 0.5
 """Seconds beyond the wait after which the feed's call counts as lost."""
 
-RETRY = 0.1
+RETRY_SECONDS = 0.1
 """Seconds between tries of a call that failed."""
 
 
@@ -46,9 +46,9 @@
         self._pool = pool
         self._store = store
         self._wake = wake
-        self._tell = pool.tell
+        self._log_event = pool.log_event
         self._job_table = pool_record.get_job_table(pool.name)
-        self._unread: set[str] = set()
+        self._unreadable: set[str] = set()
         """Jobs whose rows can't be read; what is noted of them is left."""
         self._job_parts = frozenset(pool_record.list_job_parts())
 
@@ -75,7 +75,7 @@
         version = await self._load_jobs()
         progress = await self._read_all(pool_record.PROGRESS_TABLE, part)
         for row in progress.rows:
-            if row.key in self._unread:
+            if row.key in self._unreadable:
                 continue
             self._pool.on_progress(row.key, row.value or b"{}", row.version)
         roster = await self._read_all(pool_record.ROSTER_TABLE, part)
@@ -88,7 +88,7 @@
             [maintenance.read_closing(r.key, r.value or b"") for r in closings.rows],
             closings.version,
         )
-        self._tell("pool loaded", jobs=len(self._pool.jobs), vms=len(roster.rows))
+        self._log_event("pool loaded", jobs=len(self._pool.jobs), vms=len(roster.rows))
         return version
 
     async def _load_jobs(self) -> int:
@@ -111,8 +111,8 @@
             found = await self._store.read(name, part, timeout=READ_TIMEOUT)
             if found.outcome is table.Outcome.DONE:
                 return found
-            self._tell("rows not read", table=name, reason=found.reason)
-            await anyio.sleep(RETRY)
+            self._log_event("rows not read", table=name, reason=found.reason)
+            await anyio.sleep(RETRY_SECONDS)
 
     def _take_job(self, row: rows.Row) -> None:
         if row.value is None or row.part not in self._job_parts:
@@ -121,12 +121,12 @@
             read = record.read_job(row.key, row.value)
         except (ValueError, KeyError, TypeError) as error:
             log.log_problem("job row left out", job=row.key, reason=str(error))
-            self._unread.add(row.key)
+            self._unreadable.add(row.key)
             return
         if read.pool != self._pool.name:
             return  # the table holds jobs of other pools too
         if row.key not in self._pool.jobs and read.job is not None:
-            self._tell("job taken over", job=row.key, version=row.version)
+            self._log_event("job taken over", job=row.key, version=row.version)
         place = compaction.RowLocation(row.table, row.part)
         self._pool.on_job(row.key, read, row.version, place)
 
@@ -137,12 +137,12 @@
                 self._job_table, after, wait=FEED_WAIT, timeout=FEED_WAIT + FEED_SLACK
             )
             if feed.expired:
-                self._tell("feed of jobs read anew", after=after)
+                self._log_event("feed of jobs read anew", after=after)
                 after = await self._load_jobs()
                 self._wake()
                 continue
             if feed.outcome is not table.Outcome.DONE:
-                await anyio.sleep(RETRY)
+                await anyio.sleep(RETRY_SECONDS)
                 continue
             after = max(after, feed.version)
             for row in feed.rows:
--- a/wigeonhitch/pool/status.py
+++ b/wigeonhitch/pool/status.py
@@ -3,9 +3,9 @@
 from wigeonhitch.jobs import model
 from wigeonhitch.pool import demand, record, view, vm
 
-__all__ = ["build_status", "list_empty"]
+__all__ = ["build_status", "list_empty_vms"]
 
-BOARD_STEP = 4000
+STATUS_STEP_MILLICORES = 4000
 """Thousandths of a core by which the board's figures go: an eighth of a VM."""
 
 
@@ -14,29 +14,29 @@
 ) -> record.PoolStatus:
     """Return the board; ``unmet`` in thousandths of a core."""
     idle = sum(
-        one.compute_free().cpu
+        one.compute_free_room().cpu
         for one in pool.vms.values()
         if one.listed and not one.closed and not one.entry.leaving
     )
-    empty = tuple(sorted(one.id for one in list_empty(pool)))
+    empty = tuple(sorted(one.id for one in list_empty_vms(pool)))
     light = [one for one in pool.vms.values() if _is_light(one)]
     # In whole steps, so that the row isn't written for each small change.
     return record.PoolStatus(
         _count_waiting(pool),
-        _round(unmet),
-        _round(idle),
+        _round_down(unmet),
+        _round_down(idle),
         empty,
-        tuple(one.id for one in sorted(light, key=_rank_light)),
+        tuple(one.id for one in sorted(light, key=_rank_by_runs)),
         tuple(sorted(one.id for one in light if not one.runs)),
-        _round(needed.peak),
-        _round(needed.minimum),
-        _round(compute_batch_room(pool)),
-        _round(needed.arriving),
+        _round_down(needed.peak),
+        _round_down(needed.minimum),
+        _round_down(compute_batch_capacity(pool)),
+        _round_down(needed.arriving),
         pool.closings_version if empty else 0,
     )
 
 
-def compute_batch_room(pool: view.PoolView) -> int:
+def compute_batch_capacity(pool: view.PoolView) -> int:
     """Return what the open VMs have for batch work, thousandths of a core."""
     room = 0
     for one in pool.vms.values():
@@ -46,20 +46,20 @@
     return room
 
 
-def _rank_light(one: vm.Vm) -> tuple[int, str]:
+def _rank_by_runs(one: vm.Vm) -> tuple[int, str]:
     return (len(one.runs), one.id)
 
 
-def _round(figure: int) -> int:
-    return figure - figure % BOARD_STEP
+def _round_down(figure: int) -> int:
+    return figure - figure % STATUS_STEP_MILLICORES
 
 
-def list_empty(pool: view.PoolView) -> list[vm.Vm]:
+def list_empty_vms(pool: view.PoolView) -> list[vm.Vm]:
     """Return the VMs that are to be vacated and hold nothing any more."""
     return [
         one
         for one in pool.vms.values()
-        if one.closed and one.reconciled and not (one.runs or one.strays)
+        if one.closed and one.reconciled and not (one.runs or one.orphans)
     ]
 
 
--- a/wigeonhitch/pool/tests/conftest.py
+++ b/wigeonhitch/pool/tests/conftest.py
@@ -64,7 +64,7 @@
         runs = [order.run for order in self.plan(now) if hasattr(order, "run")]
         for run in runs:
             run.deadline = run.vm.compute_deadline(now, 1.2)
-            run.vm.note_grant(run.deadline)
+            run.vm.record_lease_deadline(run.deadline)
             if answered:
                 verdict = workers.Verdict.DONE
                 reply = workers.OrderReply(verdict, CLOCK + now - NOW, now, now)
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -135,7 +135,7 @@
         if not self.world.switches.lapse_before_restart:
             for one in self.pool.vms.values():
                 if one.is_silent:
-                    one.granted = 0.0
+                    one.lease_deadline = 0.0
         for order in self.planner.plan(now, now):
             if isinstance(order, message.Start):
                 self._send_start(order)
@@ -150,7 +150,9 @@
         run = start.run
         length = START_DEADLINE if self.world.switches.own_deadline else 60.0
         run.deadline = run.vm.compute_deadline(self.world.now, length)
-        run.vm.note_grant(run.deadline if self.world.switches.own_deadline else 0.0)
+        run.vm.record_lease_deadline(
+            run.deadline if self.world.switches.own_deadline else 0.0
+        )
         order = start.order._replace(deadline=run.deadline)
         if not self.world.switches.own_deadline:
             run.deadline = run.vm.compute_clock(self.world.now)
@@ -161,7 +163,7 @@
         deadline = None
         if one.knows_clock and not one.is_silent:
             deadline = one.compute_deadline(now, dispatcher.WORKER_LEASE)
-            one.note_grant(deadline)
+            one.record_lease_deadline(deadline)
         self.next_hold[one.id] = now + 1.0
         noted = (
             one.committed_end
@@ -190,7 +192,7 @@
         for id in batch.vms:
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
-        self.pool.on_settled(batch.finals)
+        self.pool.on_finals_durable(batch.finals)
         self._note(batch.processed_ends)
 
     def _note(self, seen: dict[str, int]) -> None:
--- a/wigeonhitch/pool/tests/test_core.py
+++ b/wigeonhitch/pool/tests/test_core.py
@@ -122,7 +122,7 @@
     bench.add_job(queue="gone", is_advised=True)
 
     assert bench.start() == []
-    assert bench.pool.tickets.take_wanted() is not None
+    assert bench.pool.tickets.pop_requested() is not None
 
 
 def test_a_cancellation_after_the_end_writes_nothing_anew(bench, ended):
@@ -141,11 +141,11 @@
     one = bench.add_vm("w1")
     bench.add_job()
     bench.start()
-    one.note_grant(one.compute_deadline(NOW, 6.5))
+    one.record_lease_deadline(one.compute_deadline(NOW, 6.5))
     one.is_silent = True
     bench.add_vm("w2")
 
-    lapse = 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
+    lapse = 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
     assert bench.plan(NOW + lapse - 0.1) == []
     assert one.runs
 
@@ -157,7 +157,7 @@
     """An entry may be seconds old, so its clock is far behind the worker's."""
     one = bench.add_vm(clock=CLOCK - 5.0, answers=False)
     bench.add_job(version=5)
-    one.note_grant(one.compute_deadline(NOW, 3.6))
+    one.record_lease_deadline(one.compute_deadline(NOW, 3.6))
     task = model.Task("j", 0, 0, 0)
 
     bench.pool.on_roster("w1", "w1:1", 3, NOW)
@@ -175,7 +175,7 @@
 
     assert [order.run.task.job for order in bench.plan()] == ["new"]
 
-    waited = 6.5 * (1 + vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.01
+    waited = 6.5 * (1 + vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.01
     bench.pool.vms["w1"].last_answer = NOW + waited
     assert [o.run.task.job for o in bench.plan(NOW + waited)] == ["old"]
 
@@ -352,7 +352,7 @@
     other = model.Task("other", 0, 0, 0)
     ends = [
         workers.Ended(number, other, 0, model.End.DONE, "")
-        for number in range(1, core.ENDS_A_REPLY + 1)
+        for number in range(1, core.MAX_ENDS_PER_REPLY + 1)
     ]
 
     bench.answer(one, [running], ends)
@@ -370,7 +370,7 @@
     other = model.Task("other", 0, 0, 0)
     ends = [
         workers.Ended(one.processed_end + number, other, 0, model.End.DONE, "")
-        for number in range(1, core.ENDS_A_REPLY + 1)
+        for number in range(1, core.MAX_ENDS_PER_REPLY + 1)
     ]
     bench.answer(one, ended=ends, now=now)
 
@@ -402,7 +402,7 @@
     bench.add_job("old", version=5)
     tell_ends(bench, one, NOW + 6.0)
     one.is_silent = True
-    lapse = 6.0 + 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
+    lapse = 6.0 + 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
     bench.pool.vms["w2"].last_answer = NOW + lapse
 
     assert bench.plan(NOW + lapse - 0.1) == []
@@ -424,14 +424,14 @@
     bench.pool.on_roster("w1", "w1:1", 3, NOW)
     bench.add_vm("w2")
     bench.add_job("old", version=5)
-    one.note_grant(one.compute_deadline(NOW + 5.0, 3.8))
+    one.record_lease_deadline(one.compute_deadline(NOW + 5.0, 3.8))
     one.is_silent = True
     lapse = 5.0 + 3.8
 
     bench.pool.vms["w2"].last_answer = NOW + lapse
     assert bench.plan(NOW + lapse) == []
 
-    sure = lapse / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.1
+    sure = lapse / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.1
     bench.pool.vms["w2"].last_answer = NOW + sure
     assert [run.vm.id for run in bench.start(NOW + sure)] == ["w2"]
 
@@ -453,11 +453,11 @@
     (run,) = bench.start()
     bench.answer(one, ended=[ended(1, run)], now=NOW + 0.5)
     assert state.final is model.JobState.COMPLETED
-    bench.pool.on_settled(["j"])
+    bench.pool.on_finals_durable(["j"])
     bench.plan(NOW + 0.5)
-    work = bench.pool.tidier.collect(NOW + 0.6, 60.0)
+    work = bench.pool.compactor.collect(NOW + 0.6, 60.0)
     done = rows.Change(table.Outcome.DONE, 40)
-    bench.pool.tidier.on_result(work, done)
+    bench.pool.compactor.on_result(work, done)
 
     bench.pool.on_job("j", record.JobRecord(state.job, NOW, False), 20, PLACE)
 
--- a/wigeonhitch/pool/tests/test_demand.py
+++ b/wigeonhitch/pool/tests/test_demand.py
@@ -16,7 +16,7 @@
 def hand_in(arrivals, count, work, over, *, until=NOW):
     """Hand in so many jobs, evenly over some seconds."""
     for number in range(count):
-        arrivals.note(work, until - over + number * over / count)
+        arrivals.record(work, until - over + number * over / count)
 
 
 @pytest.fixture
@@ -66,7 +66,7 @@
     bench.add_job("new", version=20)
     bench.add_job("lasts", model.Step(1, model.Room(1000), lasting=True))
 
-    assert len(bench.pool.handed_in) == 1
+    assert len(bench.pool.submitted_work) == 1
 
 
 def test_room_to_be_just_in_time_is_less_than_room_for_all_at_once(bench):
@@ -112,7 +112,7 @@
     for second, count in enumerate(counts):
         for number in range(count):
             now = NOW + second + number / count
-            arrivals.note(JOB, now)
+            arrivals.record(JOB, now)
             if arrivals.compute_rate(now) > POOL:
                 return now - NOW
     return float(len(counts))
@@ -145,8 +145,8 @@
     now, rises, looks = NOW, 0, 2000
     for _ in range(looks):
         now += rng.expovariate(rate)
-        arrivals.note(JOB, now)
-        plain.note(JOB, now)
+        arrivals.record(JOB, now)
+        plain.record(JOB, now)
         rises += arrivals.compute_rate(now) > plain.compute_rate(now)
 
     assert rises < looks / 10
--- a/wigeonhitch/pool/tests/test_dispatcher.py
+++ b/wigeonhitch/pool/tests/test_dispatcher.py
@@ -53,7 +53,7 @@
     one = make_caller(dispatcher.OUTAGE_LEASE)
     clock.now += 2.0
 
-    passed = 2.0 * (1 - vm.CLOCK_DRIFT)
+    passed = 2.0 * (1 - vm.MAX_CLOCK_DRIFT)
     assert one.compute_max_granted_lease() == pytest.approx(
         dispatcher.OUTAGE_LEASE - passed
     )
@@ -89,10 +89,10 @@
     of the successor. An order leaves only while nobody has deposed its leader.
     """
     calls = Calls()
-    around = dependencies.Dependencies(
+    deps = dependencies.Dependencies(
         None, calls, None, metric.Instruments(), lambda: True, None, None, 60.0, None
     )
-    one = dispatcher.Dispatcher(bench.pool, around, list, lambda: None, None)
+    one = dispatcher.Dispatcher(bench.pool, deps, list, lambda: None, None)
     bench.add_vm()
     bench.add_job()
     (start,) = bench.plan()
--- a/wigeonhitch/pool/tests/test_health.py
+++ b/wigeonhitch/pool/tests/test_health.py
@@ -85,7 +85,7 @@
     run, _ = start_pair(bench, listed, peer_work=12)
 
     assert bench.plan(NOW + 0.9) == []
-    assert not run.vm.is_set_aside(NOW + 0.9)
+    assert not run.vm.is_quarantined(NOW + 0.9)
 
 
 def test_tasks_of_several_jobs_that_crawl_on_one_vm_are_its_doing(bench, listed, step):
@@ -127,7 +127,7 @@
 
     bench.plan(NOW + 1.5)
 
-    assert first.is_set_aside(NOW + 1.6)
+    assert first.is_quarantined(NOW + 1.6)
 
 
 def start_one_step(bench, step):
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("fields", [{"gang": True}, {"fills": True}])
 def test_runs_whose_pace_is_others_doing_are_left_alone(make_state, fields):
     class Stub:
-        last_answer = told_clock = NOW + 9
+        last_answer = reported_clock = NOW + 9
 
     step = model.Step(1, model.Room(1, 1), 1.0, **fields)
     run = vm.Run(model.Task("j", 0, 0, 0), 1, Stub, step, NOW)
--- a/wigeonhitch/pool/tests/test_ledger.py
+++ b/wigeonhitch/pool/tests/test_ledger.py
@@ -28,7 +28,7 @@
 def test_every_write_depends_on_the_owner_and_on_the_row_it_replaces(book, make_state):
     state = make_state(model.Step(1))
     book.versions["j"] = 33
-    book.mark("j")
+    book.mark_dirty("j")
 
     conditions = collect(book, {"j": state}).transaction.conditions
 
@@ -44,7 +44,7 @@
     """A later version would put the end behind a cancellation that came after it."""
     state = make_state(model.Step(1))
     state.final = model.JobState.COMPLETED
-    book.mark("j")
+    book.mark_dirty("j")
     batch = collect(book, {"j": state})
     book.on_result(batch, UNKNOWN)
     again = collect(book, {"j": state})
@@ -52,14 +52,14 @@
 
     result = book.on_result(again, conflict(row))
 
-    assert result.settled == ("j",)
+    assert result.durable_finals == ("j",)
     assert book.versions["j"] == 40
     assert not book.has_work
 
 
 def test_what_was_not_done_is_written_again(book, make_state):
     jobs = {"j": make_state(model.Step(1))}
-    book.mark("j")
+    book.mark_dirty("j")
     batch = collect(book, jobs)
     assert not book.has_work
 
@@ -69,7 +69,7 @@
 
 def test_a_write_that_was_done_without_an_answer_is_recognised(book, make_state):
     jobs = {"j": make_state(model.Step(1))}
-    book.mark("j")
+    book.mark_dirty("j")
     batch = collect(book, jobs)
     book.on_result(batch, UNKNOWN)
     again = collect(book, jobs)
@@ -82,7 +82,7 @@
 
 def test_another_owner_deposes(book, make_state):
     jobs = {"j": make_state(model.Step(1))}
-    book.mark("j")
+    book.mark_dirty("j")
     batch = collect(book, jobs)
 
     result = book.on_result(batch, conflict(rows.Row("owner", "p", "owner", b"", 11)))
@@ -94,7 +94,7 @@
     state = make_state(model.Step(1))
     state.final = model.JobState.COMPLETED
     book.versions["j"] = 33
-    book.mark("j")
+    book.mark_dirty("j")
 
     batch = collect(book, {"j": state})
 
@@ -105,13 +105,13 @@
 
 
 def test_a_progress_row_goes_once_it_is_spent(book, make_state):
-    book.mark("j")
+    book.mark_dirty("j")
     book.on_result(collect(book, {"j": make_state(model.Step(1))}), DONE)
-    book.spend(["j", "unknown"])
+    book.drop_progress(["j", "unknown"])
 
     batch = collect(book, {})
 
-    assert batch.spent == ("j",)
+    assert batch.dropped == ("j",)
     assert batch.transaction.conditions[1].version == DONE.version
     book.on_result(batch, DONE)
     assert not book.has_work
@@ -119,9 +119,9 @@
 
 def test_ends_are_told_only_with_the_batch_that_holds_them_all(book, make_state):
     jobs = {}
-    for number in range(ledger.JOBS_A_BATCH + 1):
+    for number in range(ledger.MAX_JOBS_PER_BATCH + 1):
         jobs[f"j{number}"] = make_state(model.Step(1))
-        book.mark(f"j{number}")
+        book.mark_dirty(f"j{number}")
 
     class Seen:
         id, processed_end = "w1", 4
@@ -131,7 +131,7 @@
 
 
 def test_jobs_that_are_gone_are_not_waited_for(book):
-    book.mark("forgotten")
+    book.mark_dirty("forgotten")
     collect(book, {})
 
     assert not book.has_work
@@ -141,9 +141,9 @@
     """The row is gone, so the answer to the next try can't list it."""
     jobs = {"j": make_state(model.Step(1))}
     book.versions["old"] = 33
-    book.spend(["old"])
+    book.drop_progress(["old"])
     book.on_result(collect(book, jobs), UNKNOWN)
-    book.mark("j")
+    book.mark_dirty("j")
     owner = rows.Row("owner", "p", "owner", b"", 10)
 
     book.on_result(collect(book, jobs), conflict(owner))
@@ -151,12 +151,12 @@
     batch = collect(book, jobs)
     assert batch.jobs == ("j",)
     assert {one.version for one in batch.transaction.conditions} == {0, 10}
-    assert not batch.spent
+    assert not batch.dropped
 
 
 def test_a_row_that_is_not_listed_stays_as_it_is_while_another_explains(book):
     book.versions.update(old=33, other=34)
-    book.spend(["old", "other"])
+    book.drop_progress(["old", "other"])
 
     found = rows.Row("progress", "p", "other", b"{}", 40)
     book.on_result(collect(book, {}), conflict(found))
@@ -230,13 +230,13 @@
     """More than the store takes would be refused again and again."""
     jobs = {f"j{number}": make_state(model.Step(1)) for number in range(50)}
     for id in jobs:
-        book.mark(id)
+        book.mark_dirty(id)
     for number in range(40):
         book.on_roster_row(f"old{number}", 5)
         book.remove_vm(f"old{number}")
         book.add_vm(f"new{number}", "new:1")
         book.versions[f"spent{number}"] = 6
-    book.spend([f"spent{number}" for number in range(40)])
+    book.drop_progress([f"spent{number}" for number in range(40)])
 
     batch = collect(book, jobs)
 
@@ -290,7 +290,7 @@
     await commit(led, store)
     led.remove_vm("w1")
     led.add_vm("w2", "w2:1")
-    led.mark("j")
+    led.mark_dirty("j")
     store.loses = 1
     batch = collect(led, jobs)
     led.on_result(batch, await store.commit(batch.transaction, timeout=1.0))
--- a/wigeonhitch/pool/tests/test_planner.py
+++ b/wigeonhitch/pool/tests/test_planner.py
@@ -53,9 +53,9 @@
 
 
 def test_worth_is_bounded_by_four_times_the_mean():
-    assert priority.compute_worth(1000.0, 1.0) == priority.WORTH_MOST
-    assert priority.compute_worth(0.0, 1.0) == priority.BASE_WORTH
-    assert priority.compute_worth(5.0, 0.0) == 1.0
+    assert priority.compute_value(1000.0, 1.0) == priority.MAX_JOB_VALUE
+    assert priority.compute_value(0.0, 1.0) == priority.BASE_VALUE
+    assert priority.compute_value(5.0, 0.0) == 1.0
 
 
 def test_tasks_of_a_step_stay_apart_as_asked(bench):
@@ -213,29 +213,33 @@
 def test_vms_that_fail_all_are_set_aside_but_never_most_of_a_pool(bench):
     for name in ("w1", "w2", "w3"):
         bench.add_vm(name)
-    bench.pool.vms["w1"].set_aside(NOW)
+    bench.pool.vms["w1"].quarantine(NOW)
     bench.add_job("j", step(4, 8000))
     assert sorted(one.run.vm.id for one in bench.plan()) == ["w2", "w3"]
 
-    bench.pool.vms["w2"].set_aside(NOW)
-    bench.pool.vms["w3"].set_aside(NOW)
+    bench.pool.vms["w2"].quarantine(NOW)
+    bench.pool.vms["w3"].quarantine(NOW)
     assert [one.run.vm.id for one in bench.plan()] == ["w1"]
 
 
 def test_setting_aside_lasts_longer_each_time_and_a_done_end_resets_it():
     entry_vm = vm.Vm.__new__(vm.Vm)
-    entry_vm.failures, entry_vm.set_aside_until = 0, 0.0
-    entry_vm._set_aside_for = vm.SET_ASIDE
+    entry_vm.failures, entry_vm.quarantined_until = 0, 0.0
+    entry_vm._quarantine_seconds = vm.QUARANTINE_SECONDS
     spans = []
     for _ in range(2):
-        for _ in range(vm.FAILURES_ALLOWED + 1):
-            entry_vm.note_end(model.End.FAILED, NOW)
-        spans.append(entry_vm.set_aside_until - NOW)
-    entry_vm.note_end(model.End.DONE, NOW)
-    entry_vm.set_aside(NOW)
-    spans.append(entry_vm.set_aside_until - NOW)
+        for _ in range(vm.MAX_CONSECUTIVE_FAILURES + 1):
+            entry_vm.record_end(model.End.FAILED, NOW)
+        spans.append(entry_vm.quarantined_until - NOW)
+    entry_vm.record_end(model.End.DONE, NOW)
+    entry_vm.quarantine(NOW)
+    spans.append(entry_vm.quarantined_until - NOW)
 
-    assert spans == [vm.SET_ASIDE, 2 * vm.SET_ASIDE, vm.SET_ASIDE]
+    assert spans == [
+        vm.QUARANTINE_SECONDS,
+        2 * vm.QUARANTINE_SECONDS,
+        vm.QUARANTINE_SECONDS,
+    ]
 
 
 @pytest.mark.parametrize(
@@ -293,7 +297,7 @@
     bench.pool.set_closed(frozenset({"w1"}), frozenset())
     assert bench.plan(NOW + 0.02) == []
 
-    sure = NOW + 0.2 + core.ADOPTED_UNSURE + 0.02
+    sure = NOW + 0.2 + core.ADOPTION_GRACE_SECONDS + 0.02
     for one in list(bench.pool.vms.values()):
         runs = [
             workers.Running(run.task, run.number, "", 100, 0)
@@ -356,7 +360,7 @@
 def test_a_silent_vm_holds_a_task_up_until_its_leases_are_over(bench):
     second = list_twice(bench)
     second.is_silent = True
-    lapse = 6.5 / (1 - vm.CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
+    lapse = 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
     bench.pool.vms["w3"].last_answer = NOW + lapse
 
     assert bench.start(NOW + lapse - 0.1) == []
--- a/wigeonhitch/pool/tests/test_ticket.py
+++ b/wigeonhitch/pool/tests/test_ticket.py
@@ -27,8 +27,8 @@
 
 def test_nothing_starts_without_a_ticket_and_the_step_is_asked_for_once(guarded):
     assert guarded.plan() == []
-    assert guarded.pool.tickets.take_wanted() == STEP
-    assert guarded.pool.tickets.take_wanted() is None
+    assert guarded.pool.tickets.pop_requested() == STEP
+    assert guarded.pool.tickets.pop_requested() is None
 
 
 def test_a_start_carries_the_ticket_of_its_vm(guarded):
@@ -45,16 +45,16 @@
         one.last_answer = NOW + 2.8
 
     assert guarded.plan(NOW + 2.8) == []
-    assert guarded.pool.tickets.take_wanted() == STEP
+    assert guarded.pool.tickets.pop_requested() == STEP
 
 
 def test_a_step_without_any_allowed_vm_is_asked_for_again_after_a_while(guarded):
     answer(guarded, {})
     guarded.plan(NOW + 0.1)
-    assert guarded.pool.tickets.take_wanted() is None
+    assert guarded.pool.tickets.pop_requested() is None
 
-    guarded.plan(NOW + ticket.ASK_AGAIN)
-    assert guarded.pool.tickets.take_wanted() == STEP
+    guarded.plan(NOW + ticket.ASK_AGAIN_SECONDS)
+    assert guarded.pool.tickets.pop_requested() == STEP
 
 
 def test_a_refused_ticket_is_dropped(guarded):
@@ -78,7 +78,7 @@
 def test_open_vms_with_most_room_are_named(guarded):
     guarded.add_vm("w3", cpu=16000)
 
-    named = ticket.choose_named(guarded.pool.vms.values(), NOW)
+    named = ticket.select_vms(guarded.pool.vms.values(), NOW)
 
     assert named[0] == "w3"
     assert len(named) == 3
--- a/wigeonhitch/pool/tests/test_vm.py
+++ b/wigeonhitch/pool/tests/test_vm.py
@@ -30,7 +30,7 @@
     Cause: the lease was counted from a clock that runs at full rate, and the worker's
     may be 2% slow. It is counted from what that clock has certainly reached.
     """
-    slowest = CLOCK + age * (1 - vm.CLOCK_DRIFT)
+    slowest = CLOCK + age * (1 - vm.MAX_CLOCK_DRIFT)
 
     deadline = one.compute_deadline(READ_AT + age, 3.8)
 
--- a/wigeonhitch/pool/ticket.py
+++ b/wigeonhitch/pool/ticket.py
@@ -11,20 +11,20 @@
 from wigeonhitch.platform import advice
 from wigeonhitch.pool import vm
 
-__all__ = ["Tickets", "choose_named"]
+__all__ = ["Tickets", "select_vms"]
 
-MARGIN = 0.3
+EXPIRY_MARGIN_SECONDS = 0.3
 """Seconds before its end at which a ticket isn't used any more: a start is on
 its way for some milliseconds, and up to 0.25 s on a slow link."""
 
-NAMED_MOST = 30
+MAX_VMS_PER_REQUEST = 30
 """VMs named in one call; the objective allows for a call on so many a step."""
 
-ASK_AGAIN = 0.5
+ASK_AGAIN_SECONDS = 0.5
 """Seconds before a step that got no ticket is asked for again."""
 
 
-class _Held(NamedTuple):
+class _StepTickets(NamedTuple):
     tickets: dict[str, str]
     until: float
 
@@ -33,47 +33,51 @@
     """Tickets of one pool's steps."""
 
     def __init__(self) -> None:
-        self._held: dict[advice.StepName, _Held] = {}
-        self._wanted: dict[advice.StepName, None] = {}
+        self._valid: dict[advice.StepName, _StepTickets] = {}
+        self._requested: dict[advice.StepName, None] = {}
         self._not_before: dict[advice.StepName, float] = {}
 
     def get(self, step: advice.StepName, now: float) -> dict[str, str]:
         """Return the valid tickets of a step by VM; it is asked for if none."""
-        held = self._held.get(step)
-        if held is not None and now < held.until - MARGIN and held.tickets:
+        held = self._valid.get(step)
+        if (
+            held is not None
+            and now < held.until - EXPIRY_MARGIN_SECONDS
+            and held.tickets
+        ):
             return held.tickets
         if now >= self._not_before.get(step, 0.0):
-            self._wanted[step] = None
+            self._requested[step] = None
         return {}
 
-    def take_wanted(self) -> advice.StepName | None:
+    def pop_requested(self) -> advice.StepName | None:
         """Return the step to ask for next."""
-        step = next(iter(self._wanted), None)
+        step = next(iter(self._requested), None)
         if step is not None:
-            del self._wanted[step]
+            del self._requested[step]
         return step
 
     def on_opinion(
         self, step: advice.StepName, opinion: advice.Opinion, now: float
     ) -> None:
         """Take an answer; ``now`` is when it was asked for."""
-        self._not_before[step] = now + ASK_AGAIN
+        self._not_before[step] = now + ASK_AGAIN_SECONDS
         if opinion.tickets is not None:
-            self._held[step] = _Held(opinion.tickets, now + opinion.validity)
+            self._valid[step] = _StepTickets(opinion.tickets, now + opinion.validity)
 
     def drop(self, step: advice.StepName) -> None:
         """Forget tickets that a worker refused."""
-        self._held.pop(step, None)
+        self._valid.pop(step, None)
 
     def forget_job(self, job: str) -> None:
         """Forget all of a job's steps."""
-        for table in (self._held, self._wanted, self._not_before):
+        for table in (self._valid, self._requested, self._not_before):
             for step in [one for one in table if one.job == job]:
                 del table[step]
 
 
-def choose_named(vms: Iterable[vm.Vm], now: float) -> list[str]:
+def select_vms(vms: Iterable[vm.Vm], now: float) -> list[str]:
     """Return the VMs to name in a call: open ones, most free room first."""
     opened = [one for one in vms if one.is_open(now)]
-    opened.sort(key=lambda one: -one.compute_free().cpu)
-    return [one.id for one in opened[:NAMED_MOST]]
+    opened.sort(key=lambda one: -one.compute_free_room().cpu)
+    return [one.id for one in opened[:MAX_VMS_PER_REQUEST]]
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -7,9 +7,9 @@
 from wigeonhitch.platform import entries
 from wigeonhitch.pool import compaction, ledger, priority, ticket, vm
 
-__all__ = ["PoolView", "TimeBounds", "describe"]
+__all__ = ["PoolView", "TimeBounds", "describe_run"]
 
-RUNS_PER_LEADER = 1 << 20
+RUN_NUMBERS_PER_LEADER = 1 << 20
 """Starts of one task that a leader may number before the next one's range."""
 
 LAPSE_MARGIN = 0.25
@@ -47,7 +47,7 @@
         Longest lease and longest stop of the workers.
     now : float
         This daemon's time at the takeover.
-    tell : callable
+    log_event : callable
         Takes a line for the log: what happened, and fields.
     """
 
@@ -58,43 +58,43 @@
         epoch: int,
         times: TimeBounds,
         now: float,
-        tell: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
         self.name = name
         self.fence = fence
         self.times = times
-        self.tell = tell
+        self.log_event = log_event
         self.jobs: dict[str, progress.Progress] = {}
         self.queues: dict[str, model.Queue] = {}
         self.vms: dict[str, vm.Vm] = {}
         self.live: dict[model.Task, vm.Run] = {}
         self.ledger = ledger.Ledger(name, fence)
-        self.tidier = compaction.Compactor(name)
-        self.places: dict[str, compaction.RowLocation] = {}
+        self.compactor = compaction.Compactor(name)
+        self.job_locations: dict[str, compaction.RowLocation] = {}
         """Where the rows of open jobs lie."""
         self.deposed = False
         self.unresolved: set[str] = set()
         """VMs that an earlier leader may have used and that haven't answered."""
-        self.changed: set[str] = set()
+        self.changed_jobs: set[str] = set()
         """Jobs whose open tasks must be computed anew."""
-        self.handed_in: list[float] = []
+        self.submitted_work: list[float] = []
         """Core-seconds of jobs accepted under this leader, not yet counted."""
         self.must_scan = True
         """Whether runs may have to be stopped for what has just changed."""
         self.not_before: dict[model.Task, float] = {}
         self.failed_on: dict[model.Task, str] = {}
         self.tickets = ticket.Tickets()
-        self.moved: set[model.Task] = set()
+        self.relocated: set[model.Task] = set()
         """Tasks that were begun again elsewhere for their VM's sake."""
-        self.wall = 0.0
+        self.wall_time = 0.0
         """Seconds since 1970 at the last round, for what is told of jobs."""
         self.closings_version = 0
         """The store's version at which the closed VMs are known."""
-        self._closed: frozenset[str] = frozenset()
-        self._ended: frozenset[str] = frozenset()
-        self._taken_over = now
-        self.base = (epoch - 1) * RUNS_PER_LEADER
-        self.numbers: dict[model.Task, int] = {}
+        self._closed_workers: frozenset[str] = frozenset()
+        self._ended_workers: frozenset[str] = frozenset()
+        self._takeover_time = now
+        self.run_number_base = (epoch - 1) * RUN_NUMBERS_PER_LEADER
+        self.run_numbers: dict[model.Task, int] = {}
         self._mean_work: dict[str, tuple[float, int]] = {}
 
     # -- rows
@@ -108,28 +108,28 @@
     ) -> None:
         """Take a job row: a new job, a cancellation, or a final state."""
         if row.job is None:
-            self.tidier.on_final_row(id, place, version, row.finished)
+            self.compactor.on_final_row(id, place, version, row.finished)
             return
         known = self.jobs.get(id)
-        if known is None and self.tidier.is_final(id, version):
+        if known is None and self.compactor.is_final(id, version):
             return  # done with; an answer may hold an older copy of its row
         if known is None:
             known = progress.Progress(row.job, version, row.accepted)
-            self.places[id] = place
+            self.job_locations[id] = place
             self.jobs[id] = known
-            self._learn_work(row.job)
+            self._update_mean_work(row.job)
             if version > self.fence and not (row.job.is_lasting or row.job.times):
-                self.handed_in.append(row.job.compute_work())
+                self.submitted_work.append(row.job.compute_work())
         if version < known.version:
             return
         known.version = version
         if row.cancelled and not known.cancelled:
             known.cancelled = True
             self.must_scan = True
-            self.tell("job cancelled", job=id, version=version)
+            self.log_event("job cancelled", job=id, version=version)
             if known.final is None:
-                self.ledger.mark(id)
-        self.changed.add(id)
+                self.ledger.mark_dirty(id)
+        self.changed_jobs.add(id)
 
     def on_progress(self, id: str, value: bytes, version: int) -> None:
         """Take a progress row, read at the takeover after all jobs.
@@ -139,22 +139,22 @@
         state = self.jobs.get(id)
         self.ledger.versions[id] = version
         if state is None:
-            self.ledger.spend([id])
+            self.ledger.drop_progress([id])
             return
         record.read_progress(state, value)
-        self.changed.add(id)
+        self.changed_jobs.add(id)
         if state.final is not None:
-            self.on_settled([id])
+            self.on_finals_durable([id])
 
     def on_queues(self, queues: Iterable[model.Queue]) -> None:
         """Take the queues of the configuration in force."""
         self.queues = {one.name: one for one in queues}
-        self.changed.update(self.jobs)
+        self.changed_jobs.update(self.jobs)
 
     def on_worker(self, entry: entries.WorkerEntry, now: float) -> None:
         """Take a worker's entry; one that is in another pool is left out."""
         known = self.vms.get(entry.id)
-        if entry.id in self._ended:
+        if entry.id in self._ended_workers:
             return  # what is left of it in the store lapses by itself
         if entry.pool != self.name:
             if known is not None:
@@ -162,17 +162,17 @@
             return
         if known is None:
             self.vms[entry.id] = vm.Vm(entry, now)
-            self.vms[entry.id].closed = entry.id in self._closed
+            self.vms[entry.id].closed = entry.id in self._closed_workers
             self.ledger.add_vm(entry.id, entry.address)
-            self.tell("VM joined", vm=entry.id, rack=self.vms[entry.id].rack)
+            self.log_event("VM joined", vm=entry.id, rack=self.vms[entry.id].rack)
             return
         if entry.leaving and not known.entry.leaving:
             self.must_scan = True
-            self.tell("VM leaves", vm=entry.id, remaining=entry.remaining)
+            self.log_event("VM leaves", vm=entry.id, remaining=entry.remaining)
         known.entry = entry
         known.listed = True
         if entry.clock is not None:
-            known.learn_clock(entry.clock, now)
+            known.update_clock(entry.clock, now)
 
     def set_closed(
         self, ids: frozenset[str], ended: frozenset[str], version: int = 0
@@ -185,21 +185,23 @@
         if version < self.closings_version:
             return
         self.closings_version = version
-        self._closed, self._ended = ids, ended
+        self._closed_workers, self._ended_workers = ids, ended
         self.must_scan = True
         for id in ended & self.vms.keys():
             self.drop_vm(self.vms[id], "ended, as the leader of moves tells")
         for one in self.vms.values():
             if one.closed != (one.id in ids):
                 one.closed = not one.closed
-                self.tell("VM to be vacated" if one.closed else "VM open", vm=one.id)
+                self.log_event(
+                    "VM to be vacated" if one.closed else "VM open", vm=one.id
+                )
 
     def on_worker_removed(self, id: str) -> None:
         """Take note that a worker's entry has gone; its runs may go on."""
         known = self.vms.get(id)
         if known is not None and known.listed:
             known.listed = False
-            self.tell("VM not listed any more", vm=id, runs=len(known.runs))
+            self.log_event("VM not listed any more", vm=id, runs=len(known.runs))
 
     def on_roster(self, id: str, address: str, version: int, now: float) -> None:
         """Take a roster row at the takeover: the VM may run tasks."""
@@ -216,32 +218,32 @@
 
     # -- time
 
-    def expire(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Take for ended what has certainly lapsed."""
-        waited = now - self._taken_over
-        longest = self.times.longest_lease * (1 + vm.CLOCK_DRIFT)
+        waited = now - self._takeover_time
+        longest = self.times.longest_lease * (1 + vm.MAX_CLOCK_DRIFT)
         grace = self.times.stop_grace + LAPSE_MARGIN
         for one in list(self.vms.values()):
             # Also one that never answered may have heard a renewal of ours.
             lapsed = one.is_lapsed(now, grace)
             if not one.answered:
                 lapsed = lapsed and waited > longest + grace
-            if lapsed and (one.runs or one.strays):
-                self._lapse(one)
+            if lapsed and (one.runs or one.orphans):
+                self._remove_lapsed_runs(one)
             if lapsed and one.id in self.unresolved:
                 self.unresolved.discard(one.id)
-                self.tell("VM waited out", vm=one.id, waited=round(waited, 2))
+                self.log_event("VM waited out", vm=one.id, waited=round(waited, 2))
             if lapsed and not one.listed:
                 self.drop_vm(one, "unlisted and lapsed")
 
     # -- questions
 
-    def compute_earlier_lease(self, now: float) -> float:
+    def compute_remaining_earlier_lease(self, now: float) -> float:
         """Return what may last of the longest lease that an earlier leader granted.
 
         Counted on a worker's clock, of which less time may have passed.
         """
-        passed = (now - self._taken_over) * (1 - vm.CLOCK_DRIFT)
+        passed = (now - self._takeover_time) * (1 - vm.MAX_CLOCK_DRIFT)
         return max(0.0, self.times.longest_lease - passed)
 
     def may_have_run(self, state: progress.Progress) -> bool:
@@ -249,59 +251,59 @@
         is_older = state.version < self.fence or self.times.leaders_overlap
         return bool(self.unresolved) and is_older
 
-    def list_stray_tasks(self) -> frozenset[model.Task]:
+    def list_orphaned_tasks(self) -> frozenset[model.Task]:
         """Return the tasks of which a VM lists a run that nobody wants.
 
         It goes on until its end is listed, or until its VM lapses or is gone.
         """
-        return frozenset(task for one in self.vms.values() for task, _ in one.strays)
+        return frozenset(task for one in self.vms.values() for task, _ in one.orphans)
 
-    def next_number(self, task: model.Task) -> int:
+    def next_run_number(self, task: model.Task) -> int:
         """Return the number of the task's next run, above all before."""
-        number = max(self.numbers.get(task, 0), self.base) + 1
-        self.numbers[task] = number
+        number = max(self.run_numbers.get(task, 0), self.run_number_base) + 1
+        self.run_numbers[task] = number
         return number
 
-    def next_gang_number(self, tasks: list[model.Task]) -> int:
+    def next_gang_run_number(self, tasks: list[model.Task]) -> int:
         """Return one number for the next runs of all members of a gang."""
-        number = max(self.next_number(task) for task in tasks)
-        self.numbers.update(dict.fromkeys(tasks, number))
+        number = max(self.next_run_number(task) for task in tasks)
+        self.run_numbers.update(dict.fromkeys(tasks, number))
         return number
 
-    def on_settled(self, ids: Iterable[str]) -> None:
+    def on_finals_durable(self, ids: Iterable[str]) -> None:
         """Take note that final states are durable."""
         for id in ids:
             state = self.jobs.get(id)
             if state is not None and state.final is not None:
-                state.settled = True
-                self.changed.add(id)
-                self._hand_over(id, state, state.final)
+                state.is_final_durable = True
+                self.changed_jobs.add(id)
+                self._schedule_compaction(id, state, state.final)
 
-    def _hand_over(
+    def _schedule_compaction(
         self, id: str, state: progress.Progress, noted: model.JobState
     ) -> None:
         """Have a final job's rows tidied."""
         noted_at = self.ledger.versions.get(id, 0)
         cancelled_at = state.version if state.cancelled else 0
         final = progress.resolve_final_state(noted, noted_at, cancelled_at)
-        self.tidier.add(id, self.places[id], final, state.version, noted_at)
+        self.compactor.add(id, self.job_locations[id], final, state.version, noted_at)
 
-    def note_sick(self, run: vm.Run, what: str, now: float) -> None:
+    def record_degraded_run(self, run: vm.Run, what: str, now: float) -> None:
         """Take note that a run stands still or is slow; its VM may be sick."""
         if run.is_sick:
             return
         run.is_sick = True
-        self.tell("run is sick", reason=what, work=run.work, **describe(run))
-        if run.vm.note_sick(now):
-            until = round(run.vm.set_aside_until, 2)
-            self.tell("VM set aside", vm=run.vm.id, until=until, reason=what)
+        self.log_event("run is sick", reason=what, work=run.work, **describe_run(run))
+        if run.vm.record_degraded_run(now):
+            until = round(run.vm.quarantined_until, 2)
+            self.log_event("VM set aside", vm=run.vm.id, until=until, reason=what)
 
     def get_mean_work(self, queue: str) -> float:
         """Return the mean core-seconds of the queue's jobs seen so far."""
         total, count = self._mean_work.get(queue, (0.0, 0))
         return total / count if count else 0.0
 
-    def count_away(self, job: str, step: int) -> int:
+    def count_unavailable(self, job: str, step: int) -> int:
         """Return how many tasks of a lasting step are not at work."""
         state = self.jobs[job]
         at_work = 0
@@ -318,10 +320,10 @@
             return False
         return not state.is_done(run.task)
 
-    def get_figures(self, state: progress.Progress) -> priority.Figures:
+    def get_figures(self, state: progress.Progress) -> priority.SortInputs:
         """Return what a job's sort key is made of, also where its queue is gone."""
         queue = self.queues.get(state.job.queue)
-        return priority.compute_figures(state, queue or state.job.terms)
+        return priority.compute_sort_inputs(state, queue or state.job.terms)
 
     def needs_ticket(self, state: progress.Progress) -> bool:
         """Whether the queue's policy allows only some VMs for each step."""
@@ -339,46 +341,46 @@
             return
         one.gone = True
         self.unresolved.discard(one.id)
-        self.tell("VM gone", vm=one.id, runs=len(one.runs), reason=reason)
+        self.log_event("VM gone", vm=one.id, runs=len(one.runs), reason=reason)
         for run in list(one.runs.values()):
-            self.remove(run)
+            self.remove_run(run)
         self.ledger.remove_vm(one.id)
         self.vms.pop(one.id, None)
 
     # -- inside
 
-    def _lapse(self, one: vm.Vm) -> None:
-        self.tell("leases lapsed", vm=one.id, runs=len(one.runs))
+    def _remove_lapsed_runs(self, one: vm.Vm) -> None:
+        self.log_event("leases lapsed", vm=one.id, runs=len(one.runs))
         for run in list(one.runs.values()):
-            self.remove(run)
-        one.strays.clear()
+            self.remove_run(run)
+        one.orphans.clear()
 
-    def remove(self, run: vm.Run) -> None:
+    def remove_run(self, run: vm.Run) -> None:
         """Take a run for ended; its task may start again."""
         run.vm.runs.pop(run.task, None)
         if self.live.get(run.task) is run:
             del self.live[run.task]
-        self.changed.add(run.task.job)
+        self.changed_jobs.add(run.task.job)
 
-    def _learn_work(self, job: model.Job) -> None:
+    def _update_mean_work(self, job: model.Job) -> None:
         total, count = self._mean_work.get(job.queue, (0.0, 0))
         self._mean_work[job.queue] = (total + job.compute_work(), count + 1)
 
     def forget_job(self, id: str) -> None:
         """Drop a job that is final and has no runs left."""
         state = self.jobs.pop(id, None)
-        self.places.pop(id, None)
-        self.changed.discard(id)
+        self.job_locations.pop(id, None)
+        self.changed_jobs.discard(id)
         if state is None:
             return
         self.tickets.forget_job(id)
-        self.moved = {task for task in self.moved if task.job != id}
-        for table in (self.numbers, self.not_before, self.failed_on):
+        self.relocated = {task for task in self.relocated if task.job != id}
+        for table in (self.run_numbers, self.not_before, self.failed_on):
             for task in [one for one in table if one.job == id]:
                 del table[task]
 
 
-def describe(run: vm.Run) -> dict[str, object]:
+def describe_run(run: vm.Run) -> dict[str, object]:
     """Return the fields of a log line on a run."""
     return {
         "job": run.task.job,
--- a/wigeonhitch/pool/vm.py
+++ b/wigeonhitch/pool/vm.py
@@ -10,38 +10,38 @@
 from wigeonhitch.jobs import model
 from wigeonhitch.platform import entries, workers
 
-__all__ = ["CLOCK_DRIFT", "Run", "RunState", "Vm"]
+__all__ = ["MAX_CLOCK_DRIFT", "Run", "RunState", "Vm"]
 
-CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02
 """A worker's clock may be this much slower than true time (users' rules)."""
 
-STALE_AFTER = 2.0
+STALE_AFTER_SECONDS = 2.0
 """Seconds without an answer after which no task is started on a VM: a hold
 of an idle VM waits 1.2 s, and its answer may be late."""
 
-SET_ASIDE = 4.0
+QUARANTINE_SECONDS = 4.0
 """Seconds that a VM is first set aside; bad spells seen last 4 to 7 s."""
 
-SET_ASIDE_MOST = 30.0
+MAX_QUARANTINE_SECONDS = 30.0
 """Longest time set aside, reached by doubling."""
 
-FAILURES_ALLOWED = 2
+MAX_CONSECUTIVE_FAILURES = 2
 """Failed ends in a row that a VM may show; a task fails by its own fault in
 0.2 to 3 of 100 runs, so three in a row are the VM's doing."""
 
 
-RATE_OVER = 0.7
+RATE_WINDOW_SECONDS = 0.7
 """Seconds over which a run's rate is taken, in percent a second: a hold and a
 bit, so that a spell of a slow VM shows in the next figure."""
 
-SICK_ALLOWED = 1
-"""Runs that may stand still or be slow within `SICK_WITHIN` seconds: where a
+MAX_DEGRADED_RUNS = 1
+"""Runs that may stand still or be slow within `DEGRADED_WINDOW_SECONDS`: where a
 VM is sick all its runs are, where a job is odd one is."""
 
-SICK_WITHIN = 3.0
+DEGRADED_WINDOW_SECONDS = 3.0
 
-SLOW_JOBS_ALLOWED = 1
-"""Jobs whose runs may be slow on a VM within `SICK_WITHIN` seconds, where no
+MAX_SLOW_JOBS = 1
+"""Jobs whose runs may be slow on a VM within `DEGRADED_WINDOW_SECONDS`, where no
 other VM runs the same step: estimates of two jobs are seldom as far off."""
 
 
@@ -110,13 +110,13 @@
         self.sure_from = 0.0
         """From when on its being listed says that nobody is stopping it."""
 
-    def note_work(self, work: float, clock: float) -> None:
+    def record_work(self, work: float, clock: float) -> None:
         """Take the progress listed at a worker's time, and the rate since the mark."""
         if work != self.work:
             self.moved = clock
         self.work = work
         passed = clock - self.mark_at
-        if passed >= RATE_OVER:
+        if passed >= RATE_WINDOW_SECONDS:
             self.rate = (work - self.mark_work) / passed
             self.mark_at, self.mark_work = clock, work
 
@@ -152,24 +152,24 @@
         """Whether the roster row that names it is committed."""
         self.gone = False
         self.last_answer = 0.0
-        self.told_clock = 0.0
+        self.reported_clock = 0.0
         """The worker's time at which it last listed its runs."""
         self.is_silent = False
         """Whether the last call to it got no answer."""
-        self.granted = 0.0
+        self.lease_deadline = 0.0
         self.processed_end = 0
         """Highest number of an end taken into account."""
         self.committed_end = 0
         """Highest number of an end that is durable."""
         self.runs: dict[model.Task, Run] = {}
-        self.strays: dict[tuple[model.Task, int], float] = {}
+        self.orphans: dict[tuple[model.Task, int], float] = {}
         """Listed runs that nobody wants, and when their stop was ordered. What
         they take isn't known, so nothing is started beside them."""
         self.failures = 0
-        self.set_aside_until = 0.0
-        self._set_aside_for = SET_ASIDE
-        self.sick = 0
-        self._sick_at = 0.0
+        self.quarantined_until = 0.0
+        self._quarantine_seconds = QUARANTINE_SECONDS
+        self.degraded_runs = 0
+        self._degraded_at = 0.0
         self._slow_jobs: dict[str, float] = {}
         """When runs of a job were last slow here."""
         self._clock = entry.clock or 0.0
@@ -190,7 +190,7 @@
         """Whether the worker's clock is known."""
         return self._clock > 0
 
-    def learn_clock(self, clock: float, received: float) -> None:
+    def update_clock(self, clock: float, received: float) -> None:
         """Take a time that the worker's clock had reached when it was received.
 
         One that says less than what is known is left: an entry may have been
@@ -204,7 +204,7 @@
     def compute_clock(self, now: float) -> float:
         """Return a time that the worker's clock has certainly reached."""
         passed = max(0.0, now - self._clock_received)
-        return self._clock + passed * (1 - CLOCK_DRIFT)
+        return self._clock + passed * (1 - MAX_CLOCK_DRIFT)
 
     def compute_deadline(self, now: float, lease: float) -> float:
         """Return the worker's time at which a lease from now ends.
@@ -214,15 +214,15 @@
         """
         return self.compute_clock(now) + lease
 
-    def note_grant(self, deadline: float) -> None:
+    def record_lease_deadline(self, deadline: float) -> None:
         """Take note that a deadline is being sent."""
-        self.granted = max(self.granted, deadline)
+        self.lease_deadline = max(self.lease_deadline, deadline)
 
     def is_lapsed(self, now: float, grace: float) -> bool:
         """Whether all that ran on it has certainly ended; ``grace`` to stop."""
-        return self.compute_clock(now) > self.granted + grace
+        return self.compute_clock(now) > self.lease_deadline + grace
 
-    def compute_free(self) -> model.Room:
+    def compute_free_room(self) -> model.Room:
         """Return the room that is left; what is being stopped still counts."""
         room = self.entry.room
         cpu, memory, gpus = room
@@ -238,59 +238,67 @@
             self.listed
             and self.reconciled
             and self.recorded
-            and not (self.is_silent or self.strays)
+            and not (self.is_silent or self.orphans)
             and not (self.gone or self.closed or self.entry.leaving)
-            and now - self.last_answer < STALE_AFTER
+            and now - self.last_answer < STALE_AFTER_SECONDS
         )
 
-    def is_set_aside(self, now: float) -> bool:
+    def is_quarantined(self, now: float) -> bool:
         """Whether it is kept from work for what was seen of it."""
-        return now < self.set_aside_until
+        return now < self.quarantined_until
 
-    def note_end(self, end: model.End, now: float) -> bool:
+    def record_end(self, end: model.End, now: float) -> bool:
         """Count an end; return whether the VM was set aside by it."""
         if end is model.End.DONE:
             self.failures = 0
-            self._set_aside_for = SET_ASIDE
+            self._quarantine_seconds = QUARANTINE_SECONDS
         if end is not model.End.FAILED:
             return False
         self.failures += 1
-        if self.failures <= FAILURES_ALLOWED:
+        if self.failures <= MAX_CONSECUTIVE_FAILURES:
             return False
-        self.set_aside(now)
+        self.quarantine(now)
         return True
 
-    def note_slow(self, job: str, now: float) -> None:
+    def record_slow_job(self, job: str, now: float) -> None:
         """Take note that a run of a job is slow by its estimate."""
         self._slow_jobs[job] = now
 
     def is_slow(self, now: float) -> bool:
         """Whether runs of several jobs are slow here: one may be long by itself."""
-        recent = (at for at in self._slow_jobs.values() if now - at < SICK_WITHIN)
-        return sum(1 for _ in recent) > SLOW_JOBS_ALLOWED
+        recent = (
+            at for at in self._slow_jobs.values() if now - at < DEGRADED_WINDOW_SECONDS
+        )
+        return sum(1 for _ in recent) > MAX_SLOW_JOBS
 
-    def note_sick(self, now: float) -> bool:
+    def record_degraded_run(self, now: float) -> bool:
         """Count a run that stood still or was slow; whether it is set aside now."""
-        if self.is_set_aside(now):
+        if self.is_quarantined(now):
             return False
-        self.sick = self.sick + 1 if now - self._sick_at < SICK_WITHIN else 1
-        self._sick_at = now
-        if self.sick <= SICK_ALLOWED:
+        self.degraded_runs = (
+            self.degraded_runs + 1
+            if now - self._degraded_at < DEGRADED_WINDOW_SECONDS
+            else 1
+        )
+        self._degraded_at = now
+        if self.degraded_runs <= MAX_DEGRADED_RUNS:
             return False
-        self.set_aside(now)
+        self.quarantine(now)
         return True
 
-    def set_aside(self, now: float) -> None:
+    def quarantine(self, now: float) -> None:
         """Keep the VM from work, longer each time."""
-        self.set_aside_until = now + self._set_aside_for
-        self._set_aside_for = min(SET_ASIDE_MOST, self._set_aside_for * 2)
+        self.quarantined_until = now + self._quarantine_seconds
+        self._quarantine_seconds = min(
+            MAX_QUARANTINE_SECONDS, self._quarantine_seconds * 2
+        )
         self.failures = 0
 
     def adopt(self, one: workers.Running, step: model.Step, now: float) -> Run:
         """Take over a run that an earlier leader started."""
         run = Run(one.task, one.run, self, step, now)
         run.state = RunState.RUNNING
-        run.moved = run.mark_at = self.told_clock
+        run.moved = run.mark_at = self.reported_clock
         run.work = run.mark_work = one.work
         run.adopted = True
         if step.fills and step.lasting:
