--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -72,11 +72,11 @@
 def claim_by_owner_alone() -> None:
     """Claim a pool also beside a lease that was renewed meanwhile."""
 
-    def expect_vacant(self: Any, pool: str) -> tuple[Any, ...]:
+    def build_claim_conditions(self: Any, pool: str) -> tuple[Any, ...]:
         owner = self.owners.get(pool)
         return (record.expect_owner(pool, owner.version if owner else 0),)
 
-    leadership.Leadership.expect_vacant = expect_vacant
+    leadership.Leadership.build_claim_conditions = build_claim_conditions
 
 
 def order_after_the_end() -> None:
--- a/wigeonhitch/leadership/core.py
+++ b/wigeonhitch/leadership/core.py
@@ -266,7 +266,7 @@
         """Whether this daemon's own lease lasts at this moment."""
         return self.clock.compute_latest(now) < self.until - MARGIN
 
-    def is_mine(self, pool: str) -> bool:
+    def is_leader(self, pool: str) -> bool:
         """Whether this life of this daemon leads, by a claim since its last lapse."""
         return self._is_named(pool) and self.owners[pool].version > self._lapsed_at
 
@@ -372,7 +372,7 @@
         """
         if self.leaving or not self.is_valid(now):
             return []
-        own = [one for one in pools if self._is_own(one) and not self.is_mine(one)]
+        own = [one for one in pools if self._is_own(one) and not self.is_leader(one)]
         if own:
             return own  # nobody else claims them while this daemon lives
         if now - self._began < SETTLE or now - self._members_at > MEMBERS_STALE:
@@ -416,7 +416,7 @@
         known = self.is_valid(now) and now - self._members_at <= MEMBERS_STALE
         if self.leaving or not known or now - self._yielded_at < YIELD_PAUSE:
             return ""
-        mine = [one for one in self.owners if one != FLEET and self.is_mine(one)]
+        mine = [one for one in self.owners if one != FLEET and self.is_leader(one)]
         counts = self._count_led(now)
         loads = [
             (counts.get(one, 0) + 1) / self.members[one].cores
@@ -430,7 +430,7 @@
         return min(mine)
 
     def make_claim(self, pool: str) -> record.Owner:
-        """Return the owner row to write, under the conditions of `expect_vacant`."""
+        """Return the owner row to write under `build_claim_conditions`."""
         known = self.owners.get(pool)
         epoch = known.epoch + 1 if known else 1
         version = known.version if known else 0
@@ -438,7 +438,7 @@
         granted = known.granted if known and not known.name else 0.0
         return record.Owner(pool, self.name, self.life, epoch, version, granted)
 
-    def expect_vacant(self, pool: str) -> tuple[rows.Condition, ...]:
+    def build_claim_conditions(self, pool: str) -> tuple[rows.Condition, ...]:
         """Return the conditions under which a claim of a pool stands.
 
         What is known of members may be old, and the leader may have renewed its
--- a/wigeonhitch/leadership/task.py
+++ b/wigeonhitch/leadership/task.py
@@ -12,7 +12,7 @@
 from wigeonhitch.platform import http, rows, table
 from wigeonhitch.telemetry import log
 
-__all__ = ["Keeper"]
+__all__ = ["LeaderElector"]
 
 TIMEOUT = 0.9
 """Seconds for one call: 4 ms as a rule, 0.2 to 0.4 s where the store is slow;
@@ -37,7 +37,7 @@
 """Seconds between a candidate's looks at what is vacant."""
 
 
-class Keeper:
+class LeaderElector:
     """Keeps this daemon's part in leading pools.
 
     Parameters
@@ -67,7 +67,7 @@
         get_granted: Callable[[str], float],
     ) -> None:
         self.leadership = leadership
-        self.renewed = 0.0
+        self.last_renewed_at = 0.0
         """When the lease was last renewed."""
         self._store = store
         self._list_pools = list_pools
@@ -127,7 +127,7 @@
         log.log_change("leadership given up", pool=pool, reason=change.reason)
 
     def _leads(self, pool: str) -> bool:
-        return self.leadership.is_mine(pool)
+        return self.leadership.is_leader(pool)
 
     # -- the lease
 
@@ -174,7 +174,7 @@
         if not self.may_order():
             self._lose_all(change.version)
         self.leadership.on_renewed(member._replace(version=change.version))
-        self.renewed = change.sent
+        self.last_renewed_at = change.sent
         return True
 
     def _lose_all(self, version: int) -> None:
@@ -376,7 +376,7 @@
     async def _try_claim(self, pool: str) -> None:
         claim = self.leadership.make_claim(pool)
         basis = self.leadership.explain_claim(pool, http.read_clock())
-        expected = self.leadership.expect_vacant(pool)
+        expected = self.leadership.build_claim_conditions(pool)
         change = await self._write_owner(claim, expected)
         log.log_change(
             "claim answered",
--- a/wigeonhitch/leadership/tests/conftest.py
+++ b/wigeonhitch/leadership/tests/conftest.py
@@ -30,7 +30,7 @@
     leadership = core.Leadership("a", "life", 100.0)
     leadership.is_candidate = True
     leadership.on_owner(owner._replace(version=store.version))
-    return task.Keeper(
+    return task.LeaderElector(
         leadership, store, lambda: ["p"], lambda _: None, lambda _: None, lambda _: 1.0
     )
 
@@ -44,7 +44,7 @@
     leadership = core.Leadership("a", "life", http.read_clock() - 60)
     leadership.is_candidate = True
     leadership.on_owner(owner._replace(version=store.version))
-    made = task.Keeper(
+    made = task.LeaderElector(
         leadership,
         store,
         lambda: ["p"],
--- a/wigeonhitch/leadership/tests/history.py
+++ b/wigeonhitch/leadership/tests/history.py
@@ -1,6 +1,6 @@
 """Histories of leases, claims and renewals on simulated time.
 
-Drives the real `task.Keeper` of three or four daemons, and through it the real
+Drives the real `task.LeaderElector` of three or four daemons, and through it the real
 decisions of `core`, and a real `term.Term` for each leadership. Their timers, clocks
 and calls to the store are replaced by one seeded schedule; nothing of a keeper is
 copied. Calls are slow, lost or done seconds late; daemons freeze, die and come back.
@@ -14,7 +14,7 @@
 
 from wigeonhitch import feed
 from wigeonhitch.leadership import candidacy, core, record, task, term
-from wigeonhitch.leadership.tests import simulated
+from wigeonhitch.leadership.tests import simulation
 from wigeonhitch.platform import http
 from wigeonhitch.telemetry import log
 
@@ -65,12 +65,12 @@
     term_ends: bool = True
 
 
-class Life(simulated.Process):
+class Life(simulation.Process):
     """One life of a daemon: its keeper, what it leads, and its way to the store."""
 
     def __init__(self, world: "World", name: str, number: int) -> None:
         rng, self.world, self.name, self.id = world.rng, world, name, f"life{number}"
-        self.offset = rng.uniform(0.0, 1000.0)
+        self.clock_offset = rng.uniform(0.0, 1000.0)
         self.away_until = 0.0
         self.lossy_until = 0.0
         self.revived = 0
@@ -81,9 +81,9 @@
         """Leaderships that are over, whose tasks may take one more step."""
         cores = CORES[int(name[1:]) % len(CORES)]
         leadership = core.Leadership(name, self.id, world.read_clock(self), cores)
-        self.keeper = task.Keeper(
+        self.keeper = task.LeaderElector(
             leadership,
-            simulated.Port(),
+            simulation.StoreClient(),
             lambda: POOLS,
             self.on_led,
             self.on_lost,
@@ -103,7 +103,7 @@
         over[1].end()
         self.ending.append(over)
         delay = self.world.rng.uniform(0.0, 0.005)
-        self.world.later(delay, lambda: self.ending.remove(over), self)
+        self.world.call_later(delay, lambda: self.ending.remove(over), self)
 
     def list_ordering(self) -> list[record.Owner]:
         """Return the rows under which this daemon may order at this moment."""
@@ -111,7 +111,7 @@
         return [owner for owner, one in terms if one.may_order()]
 
 
-class World(simulated.Schedule):
+class World(simulation.Schedule):
     """Time, the store, the daemons, and what is on the way between them."""
 
     def __init__(
@@ -143,8 +143,8 @@
         self._lives: list[Life] = []
         for number in range(daemons):
             self._start(f"d{number}")
-        self.later(self.rng.uniform(5.0, 20.0), self._join)
-        self.later(2.0, self._disturb)
+        self.call_later(self.rng.uniform(5.0, 20.0), self._join)
+        self.call_later(2.0, self._disturb)
 
     def run(self, seconds: float) -> None:
         """Play a history, with trouble."""
@@ -158,7 +158,7 @@
             self.run_until(max(self.now, self.trouble_ends) + 0.01)
             self._led_at = dict.fromkeys(POOLS, self.now)
             self._kill(self.rng.choice(self._lives), seconds + 1.0)
-            self.later(0.0, self._look)
+            self.call_later(0.0, self._look)
             self.run_until(self.now + seconds)
 
     def lose_candidates(self, seconds: float) -> None:
@@ -183,7 +183,7 @@
         """Put the schedule in place of timers, clocks and lines, and switch off."""
         off = {name for name, on in self.switches._asdict().items() if not on}
         lead = core.Leadership
-        expect = lead.expect_vacant
+        expect = lead.build_claim_conditions
         with contextlib.ExitStack() as stack:
 
             def put(where: Any, name: str, value: Any) -> None:
@@ -200,7 +200,7 @@
             if "heard_end" in off:
                 put(lead, "_has_heard_end", lambda *_: True)
             if "member_row" in off:
-                put(lead, "expect_vacant", lambda *args: expect(*args)[:1])
+                put(lead, "build_claim_conditions", lambda *args: expect(*args)[:1])
             if "lapse_loses" in off:
                 put(lead, "on_lapsed", lambda *_: None)
             if "holder_lease" in off:
@@ -218,7 +218,7 @@
     def take_step(self, life: Life, action: Callable[[], None]) -> None:
         """Take one step of a daemon, and check what it may do then."""
         leadership = life.keeper.leadership
-        has_lapsed = self.now + simulated.STORE_OFFSET > leadership.until
+        has_lapsed = self.now + simulation.STORE_OFFSET > leadership.until
         action()
         if has_lapsed and life.keeper.may_order():
             member = leadership.members.get(life.name)
@@ -228,7 +228,7 @@
                 life.revived = member.version
         self._check(life)
 
-    def on_commit(self, life: Life, call: simulated.Call) -> None:
+    def on_commit(self, life: Life, call: simulation.Call) -> None:
         """Check a new owner row, and what all daemons may do beside it."""
         if call.table != record.OWNER_TABLE:
             return
@@ -249,13 +249,13 @@
 
     # -- trouble
 
-    def draw_way(self, life: Life, call: simulated.Call) -> simulated.Way:
+    def draw_delivery(self, life: Life, call: simulation.Call) -> simulation.Delivery:
         """Return what becomes of a call."""
         odds = 0.2 if life.lossy_until > self.now else 0.01
         odds = odds if self._has_trouble else 0.0
         fates = (("", "lost", "unanswered", "late"), (1 - 3 * odds, odds, odds, odds))
         fate = self.rng.choices(*fates)[0]
-        if self.is_away(life) and self.rng.random() < 0.5:
+        if self.is_disconnected(life) and self.rng.random() < 0.5:
             fate = "refused"
         slow, until = life.slow.get((call.kind, call.table), (0.0, 0.0))
         slow = slow * call.timeout if self.now < until else 0.0
@@ -264,9 +264,9 @@
         if fate == "late":
             out = self.rng.uniform(1.0, 6.0)
             self._extend_trouble(out)
-        return simulated.Way(fate, out, back)
+        return simulation.Delivery(fate, out, back)
 
-    def is_away(self, life: Life) -> bool:
+    def is_disconnected(self, life: Life) -> bool:
         """Whether a daemon can't reach the store."""
         return self.now < max(self._away_until, life.away_until)
 
@@ -281,7 +281,7 @@
         kind = self.rng.choices(list(faults), list(faults.values()))[0]
         if self._lives:
             self._bring(kind, self.rng.choice(self._lives))
-        self.later(self.rng.expovariate(1.5), self._disturb)
+        self.call_later(self.rng.expovariate(1.5), self._disturb)
 
     def _bring(self, kind: str, life: Life) -> None:
         length = self.rng.uniform(0.5, 5.0)
@@ -308,29 +308,29 @@
         elif kind == "kill":
             self._kill(life, length)
         else:
-            self.later(0.0, lambda: self._ask(kind, life), life)
+            self.call_later(0.0, lambda: self._ask(kind, life), life)
 
     def _ask(self, kind: str, life: Life) -> None:
-        mine = [one for one in POOLS if life.keeper.leadership.is_mine(one)]
+        mine = [one for one in POOLS if life.keeper.leadership.is_leader(one)]
         if life.keeper.leadership.leaving:
             return
         if kind == "leave":
             self.start_soon(life.keeper.leave)
             self._extend_trouble(1.5)
-            self.later(1.5, lambda: self._kill(life, self.rng.uniform(0.3, 3.0)))
+            self.call_later(1.5, lambda: self._kill(life, self.rng.uniform(0.3, 3.0)))
         elif mine:
             self.start_soon(life.keeper.give_up, self.rng.choice(mine))
 
     def _kill(self, life: Life, away: float) -> None:
-        if life.is_over:
+        if life.is_terminated:
             return
-        life.is_over = True
+        life.is_terminated = True
         self._lives.remove(life)
         if self._has_trouble and self.rng.random() < 0.1 and len(self._lives) > 1:
             self._join()
             return
         self._extend_trouble(away)
-        self.later(away, lambda: self._start(life.name))
+        self.call_later(away, lambda: self._start(life.name))
 
     def _join(self) -> None:
         if self._has_trouble:
@@ -340,7 +340,7 @@
     def _start(self, name: str) -> None:
         life = Life(self, name, self._count)
         self._lives.append(life)
-        self.later(
+        self.call_later(
             self.rng.uniform(0.0, 0.5), lambda: self.start_soon(life.keeper.run), life
         )
 
@@ -371,7 +371,7 @@
         for pool in POOLS:
             away = self.now - self._led_at[pool]
             self.unled[pool] = max(self.unled[pool], away)
-        self.later(0.05, self._look)
+        self.call_later(0.05, self._look)
 
     def _tell(self, text: str) -> None:
         self.faults.append(f"{self.now:.4f} {text}")
--- a/wigeonhitch/leadership/tests/simulated.py
+++ b/wigeonhitch/leadership/tests/simulation.py
@@ -35,7 +35,7 @@
     """For which a feed waits for changes."""
 
 
-class Way(NamedTuple):
+class Delivery(NamedTuple):
     """What becomes of a call, and the seconds that it takes each way.
 
     ``fate`` is empty, or one of ``refused``, ``lost`` before it is done, ``unanswered``
@@ -114,7 +114,7 @@
         )
 
 
-class Port:
+class StoreClient:
     """Implements `rows.RowStore` for a daemon: each call waits for the schedule."""
 
     async def commit(self, change: rows.Transaction, *, timeout: float) -> Any:
@@ -157,9 +157,9 @@
 class Process:
     """A process whose tasks take steps; a frozen one's timers and answers wait."""
 
-    is_over = False
+    is_terminated = False
     frozen_until = 0.0
-    offset = 0.0
+    clock_offset = 0.0
     """Seconds between the schedule's time and its steady clock."""
 
 
@@ -175,7 +175,9 @@
         self._queue: list[tuple[float, float, Any, Any]] = []
         self._count = 0
 
-    def later(self, delay: float, action: Any, process: Process | None = None) -> None:
+    def call_later(
+        self, delay: float, action: Any, process: Process | None = None
+    ) -> None:
         """Act after a while, as a step of a process where one is given."""
         self._count += 1
         heapq.heappush(self._queue, (self.now + delay, self._count, action, process))
@@ -186,7 +188,7 @@
             self.now, _, action, process = heapq.heappop(self._queue)
             if process is None:
                 action()
-            elif process.is_over:
+            elif process.is_terminated:
                 continue
             elif process.frozen_until > self.now:
                 # What has waited comes in any order once the process wakes.
@@ -214,7 +216,7 @@
     def start_soon(self, function: Callable[..., Any], *args: Any) -> None:
         """Start a task of the process whose step this is."""
         process, task = self._current, function(*args)
-        self.later(0.0, lambda: self._resume(process, task, None), process)
+        self.call_later(0.0, lambda: self._resume(process, task, None), process)
 
     def _resume(
         self, process: Process, task: Coroutine[Any, Any, Any], value: Any
@@ -225,7 +227,7 @@
             return
         if isinstance(what, Pause):
             again = functools.partial(self._resume, process, task, None)
-            self.later(what.seconds, again, process)
+            self.call_later(what.seconds, again, process)
         else:
             self.send(process, what, functools.partial(self._resume, process, task))
 
@@ -233,12 +235,12 @@
 
     def send(self, process: Process, call: Call, resume: Callable[[Any], None]) -> None:
         """Deliver a call and its answer; one that is lost ends at the timeout."""
-        way, sent = self.draw_way(process, call), self.read_clock(process)
+        way, sent = self.draw_delivery(process, call), self.read_clock(process)
         end = self.now + way.out + call.wait
         answered = []
 
         def deliver() -> None:
-            if self.is_away(process):
+            if self.is_disconnected(process):
                 return
             result = call.act(self.store)
             if result is None and self.now < end - 1e-9:
@@ -251,7 +253,7 @@
                 self.on_commit(process, call)
             if not way.fate:
                 time = self.now + STORE_OFFSET
-                self.later(way.back, lambda: take(result, time), process)
+                self.call_later(way.back, lambda: take(result, time), process)
 
         def take(result: Any, time: float = 0.0) -> None:
             if answered:
@@ -264,13 +266,13 @@
 
         if way.fate == "refused":
             down = call.answer(NOT_DONE, reason="down")
-            self.later(REFUSED, lambda: take(down), process)
+            self.call_later(REFUSED, lambda: take(down), process)
             return
         if way.fate != "lost":
-            self.later(way.out, deliver)
-            self.later(way.out + call.wait, lambda: self._end_wait(deliver))
+            self.call_later(way.out, deliver)
+            self.call_later(way.out + call.wait, lambda: self._end_wait(deliver))
         lost = call.answer(UNKNOWN, reason="timeout")
-        self.later(call.timeout, lambda: take(lost), process)
+        self.call_later(call.timeout, lambda: take(lost), process)
 
     def _wake_feeds(self) -> None:
         waiting, self._waiting = self._waiting, []
@@ -284,13 +286,13 @@
 
     def read_clock(self, process: Any) -> float:
         """Return a process's steady clock."""
-        return self.now + process.offset
+        return self.now + process.clock_offset
 
-    def draw_way(self, process: Any, call: Call) -> Way:
+    def draw_delivery(self, process: Any, call: Call) -> Delivery:
         """Return what becomes of a call."""
         raise NotImplementedError
 
-    def is_away(self, process: Any) -> bool:
+    def is_disconnected(self, process: Any) -> bool:
         """Whether a process can't reach the store."""
         raise NotImplementedError
 
--- a/wigeonhitch/leadership/tests/test_claims.py
+++ b/wigeonhitch/leadership/tests/test_claims.py
@@ -16,7 +16,7 @@
     leadership = core.Leadership("a", "life", 100.0)
     leadership.is_candidate = True
     led = []
-    made = task.Keeper(
+    made = task.LeaderElector(
         leadership, store, lambda: ["p"], led.append, lambda _: None, lambda _: 1.0
     )
     return made, led
@@ -65,7 +65,7 @@
     def on_renewed(member):
         nonlocal led
         renew(member)
-        led = keeper.may_order() and keeper.leadership.is_mine("p")
+        led = keeper.may_order() and keeper.leadership.is_leader("p")
 
     renew, keeper.leadership.on_renewed = keeper.leadership.on_renewed, on_renewed
     await keeper._read_own()
@@ -126,7 +126,7 @@
     await keeper._read_own()
     await keeper._renew()
 
-    assert keeper.leadership.is_mine("p")
+    assert keeper.leadership.is_leader("p")
     assert told == [("led", 2)]
 
 
@@ -156,7 +156,7 @@
     await keeper._read_own()
     await keeper._claim("p")
 
-    assert not keeper.leadership.is_mine("p")
+    assert not keeper.leadership.is_leader("p")
     assert told == [("lost", "p")]
 
 
@@ -192,7 +192,7 @@
         keeper, store, told, lambda: keeper.leadership.on_lapsed(store.version + 1)
     )
 
-    assert not keeper.leadership.is_mine("p")
+    assert not keeper.leadership.is_leader("p")
     assert told == []
 
 
--- a/wigeonhitch/leadership/tests/test_core.py
+++ b/wigeonhitch/leadership/tests/test_core.py
@@ -72,7 +72,7 @@
     one = make_leadership("a", three)
     one.on_owner(record.Owner("p", "a", "an earlier life", 1, 10))
 
-    assert not one.is_mine("p")
+    assert not one.is_leader("p")
     assert not one.is_alive("a", "an earlier life", 100.0)
 
 
@@ -132,14 +132,14 @@
     """Another may have claimed meanwhile, and started what was accepted since."""
     one = make_leadership("a", three)
     one.on_owner(own("p", "a", version=60))
-    assert one.is_mine("p")
+    assert one.is_leader("p")
 
     one.on_lapsed(70)
 
-    assert not one.is_mine("p")
+    assert not one.is_leader("p")
     assert one.list_claims(["p"], 100.0) == ["p"]
     one.on_owner(own("p", "a", version=71))
-    assert one.is_mine("p")
+    assert one.is_leader("p")
     assert one.list_claims(["p"], 100.0) == []
 
 
--- a/wigeonhitch/leadership/tests/test_task.py
+++ b/wigeonhitch/leadership/tests/test_task.py
@@ -36,7 +36,7 @@
         owner = record.Owner(pool, "a", "life", 1, 0)
         conftest.put_owner(store, owner)
         leadership.on_owner(owner._replace(version=store.version))
-    return task.Keeper(
+    return task.LeaderElector(
         leadership, store, lambda: [], lambda _: None, lambda _: None, lambda _: 1.0
     )
 
--- a/wigeonhitch/maintenance/task.py
+++ b/wigeonhitch/maintenance/task.py
@@ -15,7 +15,7 @@
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.telemetry import log
 
-__all__ = ["Runner", "Surroundings"]
+__all__ = ["Runner", "Dependencies"]
 
 PERIOD = 0.3
 """Seconds between two rounds: a fifth of the time that a move takes."""
@@ -41,7 +41,7 @@
 """Seconds between two listings of the VMs while nothing is under way."""
 
 
-class Surroundings(NamedTuple):
+class Dependencies(NamedTuple):
     """What the leader works with; see `wigeonhitch.pool.surroundings`.
 
     ``get_store_time`` returns a time that the store's clock hasn't passed;
@@ -64,7 +64,7 @@
     """Leads moves and upkeep from the claim until it is given up or lost."""
 
     def __init__(
-        self, owner: leader_record.Owner, around: Surroundings, now: float
+        self, owner: leader_record.Owner, around: Dependencies, now: float
     ) -> None:
         self.owner = owner
         self._term = term.Term(around.may_order)
--- a/wigeonhitch/maintenance/tests/test_task.py
+++ b/wigeonhitch/maintenance/tests/test_task.py
@@ -79,7 +79,7 @@
     read = await store.read(leader_record.OWNER_TABLE, FLEET, timeout=1.0)
     row = read.rows[0]
     owner = leader_record.read_owner(FLEET, row.value, row.version)
-    around = task.Surroundings(
+    around = task.Dependencies(
         store,
         machines,
         lambda: True,
--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -65,7 +65,7 @@
             settings.cores,
             settings.rates.across,
         )
-        self._keeper = keeper.Keeper(
+        self._keeper = keeper.LeaderElector(
             self._leadership,
             store,
             self._list_pools,
@@ -173,7 +173,7 @@
         if self._runners.get(pool) is not runner:
             return
         log.log_change("leading ended", pool=pool, deposed=runner.pool.deposed)
-        if self._leadership.is_mine(pool):
+        if self._leadership.is_leader(pool):
             await self._keeper.give_up(pool)
         else:
             self._on_lost(pool)
@@ -187,12 +187,12 @@
             return
         self._fleet_runner = None
         log.log_change("leading the fleet ended", deposed=runner.deposed)
-        if self._leadership.is_mine(leadership.FLEET):
+        if self._leadership.is_leader(leadership.FLEET):
             await self._keeper.give_up(leadership.FLEET)
 
     def _make_fleet_runner(self, owner: leader_record.Owner) -> fleet_task.Runner:
         bounds = self.settings.bounds
-        around = fleet_task.Surroundings(
+        around = fleet_task.Dependencies(
             self._store,
             self._fleet_calls,
             self._keeper.may_order,
@@ -215,7 +215,7 @@
             self._advice_calls,
             self.instruments,
             self._keeper.may_order,
-            lambda: self._keeper.renewed,
+            lambda: self._keeper.last_renewed_at,
             lambda: self._leadership.clock.compute_earliest(http.read_clock()),
             bounds.finals_kept,
             belief.Times(
--- a/wigeonhitch/site/tests/history.py
+++ b/wigeonhitch/site/tests/history.py
@@ -14,7 +14,7 @@
 import orjson
 
 from wigeonhitch.jobs import model, progress
-from wigeonhitch.leadership.tests import simulated
+from wigeonhitch.leadership.tests import simulation
 from wigeonhitch.platform import http, rows, table
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.pool import tidy
@@ -61,22 +61,22 @@
         """Pools in which a row of it has been written."""
 
 
-class Life(simulated.Process):
+class Life(simulation.Process):
     """One life of a daemon, as far as it answers callers."""
 
     def __init__(self, world: "World", newest: list[bytes]) -> None:
-        self.offset = world.rng.uniform(0.0, 1000.0)
-        self.follower = catalogue.Follower(simulated.Port(), lambda: None)
+        self.clock_offset = world.rng.uniform(0.0, 1000.0)
+        self.follower = catalogue.Follower(simulation.StoreClient(), lambda: None)
         for one in newest:
             self.follower._take_catalogue(one)
         self.desk = desk.Desk(
-            simulated.Port(),
+            simulation.StoreClient(),
             lambda: self.follower.catalogue,
             metric.Instruments(),
         )
 
 
-class World(simulated.Schedule):
+class World(simulation.Schedule):
     """Callers, daemons, the store, and what tidies each pool's final jobs."""
 
     def __init__(self, seed: int, plan: Plan | None = None, off: str = "") -> None:
@@ -88,19 +88,19 @@
         self._has_trouble = True
         self._versions = [self._write_configuration(1)]
         self._lives = [Life(self, self._versions) for _ in range(DAEMONS)]
-        self._leaders: list[simulated.Process] = []
+        self._leaders: list[simulation.Process] = []
 
     def play(self, seconds: float) -> list[str]:
         """Play a history to its end; return what went wrong."""
         with self._replace():
             self._succeed_leaders()
             for job in self.jobs.values():
-                self.later(self.rng.uniform(0.0, seconds / 2), self._bring(job))
-            self.later(1.0, self._move)
-            self.later(1.0, self._restart)
+                self.call_later(self.rng.uniform(0.0, seconds / 2), self._bring(job))
+            self.call_later(1.0, self._move)
+            self.call_later(1.0, self._restart)
             self.run_until(self.now + seconds)
             self._has_trouble = False
-            self.later(LATE[1], self._succeed_leaders)
+            self.call_later(LATE[1], self._succeed_leaders)
             # What was late is done, and every daemon has the newest configuration.
             self.run_until(self.now + LATE[1] + 3.0)
             self._check_all_found()
@@ -129,16 +129,18 @@
         def bring() -> None:
             self._call(self._submit, job)
             for _ in range(4):
-                self.later(self.rng.uniform(0.1, 12.0), lambda: self._ask(job))
+                self.call_later(self.rng.uniform(0.1, 12.0), lambda: self._ask(job))
             if self.rng.random() < 0.3:
-                self.later(self.rng.uniform(0.5, 6.0), lambda: self._cancel_soon(job))
+                self.call_later(
+                    self.rng.uniform(0.5, 6.0), lambda: self._cancel_soon(job)
+                )
 
         return bring
 
     def _call(self, function: Any, job: Job) -> None:
         """Make a call of a caller at any daemon."""
         life = self.rng.choice(self._lives)
-        self.later(0.0, lambda: self.start_soon(function, life, job), life)
+        self.call_later(0.0, lambda: self.start_soon(function, life, job), life)
 
     def _ask(self, job: Job) -> None:
         self._call(self._show, job)
@@ -150,7 +152,7 @@
     async def _submit(self, life: Life, job: Job) -> None:
         job.tries += 1
         answered = []
-        self.later(3.0, lambda: None if answered else self._retry(job))
+        self.call_later(3.0, lambda: None if answered else self._retry(job))
         queue = life.desk.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             verdict = queue.verdict
@@ -162,7 +164,7 @@
         if verdict is message.Verdict.ACCEPTED:
             job.is_accepted = True
             if self.rng.random() < 0.5:
-                self.later(self.rng.uniform(0.0, 4.0), lambda: self._again(job))
+                self.call_later(self.rng.uniform(0.0, 4.0), lambda: self._again(job))
         else:
             self._retry(job)
 
@@ -174,7 +176,7 @@
     def _retry(self, job: Job) -> None:
         if len(job.verdicts) < 5 and self.rng.random() < 0.8 and self._has_trouble:
             delay = self.rng.uniform(0.05, 1.0)
-            self.later(delay, lambda: self._call(self._submit, job))
+            self.call_later(delay, lambda: self._call(self._submit, job))
 
     async def _show(self, life: Life, job: Job) -> None:
         accepted, before = job.is_accepted, job.shown
@@ -222,23 +224,23 @@
         for life in self._lives:
             delay = self.rng.uniform(0.0, 2.0)
             take = life.follower._take_catalogue
-            self.later(delay, lambda take=take: take(made), life)
-        self.later(self.rng.expovariate(1 / self.plan.moves), self._move)
+            self.call_later(delay, lambda take=take: take(made), life)
+        self.call_later(self.rng.expovariate(1 / self.plan.moves), self._move)
 
     def _restart(self) -> None:
         if not self._has_trouble:
             return
         number = self.rng.randrange(DAEMONS)
-        self._lives[number].is_over = True
+        self._lives[number].is_terminated = True
         newest = self._versions[-2:]
         known = newest[:1] if self.rng.random() < 0.5 else newest[-1:]
         self._lives[number] = life = Life(self, known)
         take = life.follower._take_catalogue
         last = self._versions[-1]
-        self.later(self.rng.uniform(0.2, 2.0), lambda: take(last), life)
-        self.later(self.rng.expovariate(0.5), self._restart)
+        self.call_later(self.rng.uniform(0.2, 2.0), lambda: take(last), life)
+        self.call_later(self.rng.expovariate(0.5), self._restart)
 
-    def draw_way(self, process: Any, call: simulated.Call) -> simulated.Way:
+    def draw_delivery(self, process: Any, call: simulation.Call) -> simulation.Delivery:
         """Return what becomes of a call."""
         odds = 0.06 if self._has_trouble else 0.0
         odds_late = 3 * odds if call.kind == "commit" else 0.0
@@ -249,9 +251,9 @@
         out, back = self.rng.uniform(0.001, slow), self.rng.uniform(0.001, slow)
         if fate == "late":
             out = self.rng.uniform(*LATE)
-        return simulated.Way(fate, out, back)
+        return simulation.Delivery(fate, out, back)
 
-    def is_away(self, process: Any) -> bool:
+    def is_disconnected(self, process: Any) -> bool:
         """Whether a process can't reach the store."""
         return False
 
@@ -260,17 +262,17 @@
     def _succeed_leaders(self) -> None:
         """Have each pool tidied by a new leader."""
         for one in self._leaders:
-            one.is_over = True
-        self._leaders = [simulated.Process() for _ in range(self.plan.pools)]
+            one.is_terminated = True
+        self._leaders = [simulation.Process() for _ in range(self.plan.pools)]
         for number, one in enumerate(self._leaders):
-            self.later(0.0, self._make_leader(f"p{number}"), one)
+            self.call_later(0.0, self._make_leader(f"p{number}"), one)
 
     def _make_leader(self, pool: str) -> Any:
         return lambda: self.start_soon(self._lead, pool, random.Random(self._count))
 
     async def _lead(self, pool: str, rng: random.Random) -> None:
         """Complete the pool's jobs after a while, and tidy their rows."""
-        port, tidier = simulated.Port(), tidy.Tidier(pool)
+        port, tidier = simulation.StoreClient(), tidy.Tidier(pool)
         began: dict[str, float] = {}
         read = [orjson.loads(row.value or b"") for row in self._list_rows(pool)]
         listed = zip(self._list_rows(pool), read, strict=True)
@@ -303,7 +305,7 @@
                     spent.discard(id)
 
     async def _finish(
-        self, port: simulated.Port, pool: str, id: str, fields: dict[str, Any]
+        self, port: simulation.StoreClient, pool: str, id: str, fields: dict[str, Any]
     ) -> tuple[model.JobState, int] | None:
         """Make a final state durable, as a leader does before it tidies."""
         place = (pool_record.PROGRESS_TABLE, pool, id)
@@ -324,7 +326,7 @@
 
     # -- what is checked
 
-    def on_commit(self, process: Any, call: simulated.Call) -> None:
+    def on_commit(self, process: Any, call: simulation.Call) -> None:
         """Note in which pools there are rows of each job."""
         for row in reversed(self.store.changes):
             if row.version != self.store.version:
