--- a/wigeonhitch/leadership/core.py
+++ b/wigeonhitch/leadership/core.py
@@ -42,7 +42,7 @@
 """Seconds between the first candidate's claim and each further one's, longer
 than a claim and its news take, so that mostly one claims."""
 
-SETTLE = 1.0
+CLAIM_STARTUP_DELAY_SECONDS = 1.0
 """Seconds after its start before a daemon claims: where all start together,
 the others have then joined, and no single one takes all pools."""
 
@@ -302,7 +302,11 @@
         bool
             Whether this daemon has become a candidate.
         """
-        if self.is_candidate or self.leaving or now - self._began < SETTLE:
+        if (
+            self.is_candidate
+            or self.leaving
+            or now - self._began < CLAIM_STARTUP_DELAY_SECONDS
+        ):
             return False
         if len(self.list_live(now)) >= candidacy.compute_wanted(pools):
             self._join_at = 0.0
@@ -375,7 +379,10 @@
         own = [one for one in pools if self._is_own(one) and not self.is_leader(one)]
         if own:
             return own  # nobody else claims them while this daemon lives
-        if now - self._began < SETTLE or now - self._members_at > MEMBERS_STALE:
+        if (
+            now - self._began < CLAIM_STARTUP_DELAY_SECONDS
+            or now - self._members_at > MEMBERS_STALE
+        ):
             return []
         live = self.list_live(now)
         if self.name not in live:
--- a/wigeonhitch/site/tests/test_two_leaders.py
+++ b/wigeonhitch/site/tests/test_two_leaders.py
@@ -43,7 +43,7 @@
     """
     leader = site.find_leader(ones)
     (other,) = [one for one in ones if one is not leader]
-    await anyio.sleep(core.SETTLE + 0.5)
+    await anyio.sleep(core.CLAIM_STARTUP_DELAY_SECONDS + 0.5)
     site.reach[other.settings.name].cut.add("w1")
     site.reach[leader.settings.name].cut.add("w2")
     site.links[leader.settings.name].slow[record.OWNER_TABLE] = OWNERS_LATE
