--- a/wigeonhitch/leadership/candidacy.py
+++ b/wigeonhitch/leadership/candidacy.py
@@ -1,8 +1,8 @@
-"""Which daemons hold a lease, so as to lead: a bounded number of candidates.
+"""Selection of the candidates: the daemons that hold a lease and so can lead.
 
-A lease costs renewals, and each daemon hears of all of them, so the number of leases
-mustn't grow with the number of daemons. The others only look whether there are enough
-candidates, each time that the first of the known leases would have run out.
+Each lease costs renewals, and every daemon receives all of them, so the number of
+leases must not grow with the number of daemons. Daemons without a lease only check
+whether there are enough candidates, each time the earliest known lease would expire.
 """
 
 import hashlib
@@ -10,21 +10,22 @@
 
 __all__ = [
     "Candidate",
-    "compute_backoff",
-    "compute_wanted",
+    "compute_join_backoff",
+    "compute_target_count",
+    "hash_text",
     "is_surplus",
-    "mix",
 ]
 
-LEAST = 8
-"""Candidates at least: several may be lost at once before others have to join."""
+MIN_CANDIDATES = 8
+"""Minimum number of candidates, so that several can be lost at once before other
+daemons have to join."""
 
-SPARE = 3
-"""Candidates beyond one for each pool."""
+SPARE_CANDIDATES = 3
+"""Number of candidates beyond one per pool."""
 
-BACKOFF = 0.15
-"""Seconds over which daemons of one core join where candidates are missing: those
-that come first are heard of before most others join too."""
+MAX_JOIN_BACKOFF_SECONDS = 0.15
+"""Maximum backoff of a daemon with one core before it joins as a candidate. The joins
+are spread over it so that most daemons see the first ones and don't join as well."""
 
 
 class Candidate(NamedTuple):
@@ -32,40 +33,46 @@
 
     name: str
     cores: float
-    leads: bool
+    is_leader: bool
 
 
-def compute_wanted(pools: int) -> int:
-    """Return how many candidates there should be for a number of pools."""
-    return max(LEAST, pools + SPARE)
+def compute_target_count(pools: int) -> int:
+    """Return the target number of candidates for a number of pools."""
+    return max(MIN_CANDIDATES, pools + SPARE_CANDIDATES)
 
 
-def compute_backoff(name: str, version: int, cores: float) -> float:
+def compute_join_backoff(name: str, version: int, cores: float) -> float:
     """Return the seconds that a daemon waits before it joins.
 
     Parameters
     ----------
     name : str
-        The daemon.
+        Name of the daemon.
     version : int
-        The store's, at which candidates were found to be missing.
+        Version of the store at which candidates were found to be missing.
     cores : float
-        The daemon's processors: strong ones join first.
+        Processor cores of the daemon; daemons with more cores join first.
     """
-    share = int.from_bytes(mix(f"{version}/{name}")) / 2**64
-    return share * BACKOFF / max(cores, 0.1)
+    fraction = int.from_bytes(hash_text(f"{version}/{name}")) / 2**64
+    return fraction * MAX_JOIN_BACKOFF_SECONDS / max(cores, 0.1)
 
 
-def is_surplus(name: str, candidates: list[Candidate], wanted: int) -> bool:
-    """Whether a candidate may stand down: leaders stay, then the strongest."""
+def is_surplus(name: str, candidates: list[Candidate], target_count: int) -> bool:
+    """Return whether a candidate may step down.
 
-    def weigh(one: Candidate) -> tuple[bool, float, bytes]:
-        return not one.leads, -one.cores, mix(one.name)
+    Leaders are kept first, then the candidates with the most cores.
+    """
+
+    def sort_key(candidate: Candidate) -> tuple[bool, float, bytes]:
+        return not candidate.is_leader, -candidate.cores, hash_text(candidate.name)
 
-    ranked = sorted(candidates, key=weigh)
-    return any(one.name == name and not one.leads for one in ranked[wanted:])
+    ranked = sorted(candidates, key=sort_key)
+    return any(
+        candidate.name == name and not candidate.is_leader
+        for candidate in ranked[target_count:]
+    )
 
 
-def mix(text: str) -> bytes:
-    """Return a hash by which equals are put in an order that spreads them."""
+def hash_text(text: str) -> bytes:
+    """Return a hash that orders equal candidates pseudo-randomly."""
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/wigeonhitch/leadership/clock.py
+++ b/wigeonhitch/leadership/clock.py
@@ -1,30 +1,37 @@
-"""Bounds of the store's clock, which all leases are counted by."""
+"""Bounds of the store's clock, on which all leases are timed."""
 
 __all__ = ["StoreClock"]
 
 
 class StoreClock:
-    """Bounds of the store's steady clock, from one answer's time."""
+    """Lower and upper bounds of the store's monotonic clock.
 
-    def __init__(self) -> None:
-        self._time = 0.0
-        self._sent = 0.0
-        self._received = 0.0
+    They are derived from the time in the newest answer of the store.
+    """
 
-    def learn(self, time: float, sent: float, received: float) -> None:
-        """Take the time of an answer; the newest one is kept."""
-        if time and received >= self._received:
-            self._time, self._sent, self._received = time, sent, received
+    def __init__(self) -> None:
+        self._store_time = 0.0
+        self._sent_at = 0.0
+        self._received_at = 0.0
+
+    def update(self, store_time: float, sent_at: float, received_at: float) -> None:
+        """Record the store's time from an answer; the newest answer is kept."""
+        if store_time and received_at >= self._received_at:
+            self._store_time, self._sent_at, self._received_at = (
+                store_time,
+                sent_at,
+                received_at,
+            )
 
     @property
     def is_known(self) -> bool:
-        """Whether any answer was taken."""
-        return self._time > 0
+        """Whether any answer has been recorded."""
+        return self._store_time > 0
 
     def compute_earliest(self, now: float) -> float:
-        """Return a time that the store's clock has certainly reached."""
-        return self._time + (now - self._received)
+        """Return a lower bound of the store's clock at ``now``."""
+        return self._store_time + (now - self._received_at)
 
     def compute_latest(self, now: float) -> float:
-        """Return a time that the store's clock has certainly not passed."""
-        return self._time + (now - self._sent)
+        """Return an upper bound of the store's clock at ``now``."""
+        return self._store_time + (now - self._sent_at)
--- a/wigeonhitch/leadership/record.py
+++ b/wigeonhitch/leadership/record.py
@@ -1,4 +1,4 @@
-"""Rows of members and of owners, as compact JSON."""
+"""Row formats of members and owners, as compact JSON."""
 
 from typing import NamedTuple
 
@@ -26,12 +26,13 @@
 
 
 class Member(NamedTuple):
-    """One daemon that takes part.
+    """One daemon that holds a lease.
 
-    ``life`` differs for each start of the process; ``until`` is the end of its
-    lease on the store's steady clock in seconds; ``cores`` are the processors
-    that the daemon may use; ``version`` is the row's, which rises with each renewal.
-    ``since`` is when the lease began to last without a gap, 0 if that isn't told.
+    ``life`` identifies one run of the daemon's process; ``until`` is the end of the
+    lease on the store's monotonic clock in seconds; ``cores`` are the processor cores
+    that the daemon may use; ``version`` is the row's version, which rises with each
+    renewal. ``since`` is the time since which the lease has been held without a gap,
+    0 if unknown.
     """
 
     name: str
@@ -44,7 +45,7 @@
 
 
 class Owner(NamedTuple):
-    """Who leads a pool; ``name`` is empty when it was given up.
+    """The leader of a pool; ``name`` is empty after the pool was given up.
 
     ``version`` is the row's version and the leader's fencing token; ``epoch``
     counts the leaders of the pool, from 1.
@@ -56,22 +57,22 @@
     epoch: int
     version: int
     granted: float = 0.0
-    """Longest lease in seconds that workers may still have of a leader that
-    gave the pool up; 0: not known."""
+    """Longest lease in seconds that workers may still hold from the leader that
+    gave the pool up; 0 if unknown."""
 
 
 def expect_owner(pool: str, version: int) -> rows.Condition:
-    """Return the condition under which all of a leader's writes stand."""
+    """Return the condition that all writes of a leader carry."""
     return rows.Condition(OWNER_TABLE, pool, OWNER_KEY, version)
 
 
 def expect_member(name: str, version: int) -> rows.Condition:
-    """Return the condition that a member hasn't renewed its lease since."""
+    """Return the condition that a member has not renewed its lease since."""
     return rows.Condition(MEMBER_TABLE, name, name, version)
 
 
 def write_member(member: Member) -> bytes:
-    """Return a member's row."""
+    """Encode a member as a row value."""
     row = {"life": member.life, "until": round(member.until, 3)}
     row["cores"] = round(member.cores, 3)
     row["since"] = round(member.since, 3)
@@ -81,7 +82,7 @@
 
 
 def read_member(key: str, value: bytes, version: int) -> Member:
-    """Read a member's row."""
+    """Decode a member's row."""
     row = orjson.loads(value)
     leaving, cores = row.get("leaving", False), row.get("cores", 1.0)
     since = row.get("since", 0.0)
@@ -89,7 +90,7 @@
 
 
 def write_owner(owner: Owner) -> bytes:
-    """Return an owner's row."""
+    """Encode an owner as a row value."""
     row = {"name": owner.name, "life": owner.life, "epoch": owner.epoch}
     if owner.granted:
         row["granted"] = owner.granted
@@ -97,7 +98,7 @@
 
 
 def read_owner(pool: str, value: bytes, version: int) -> Owner:
-    """Read an owner's row."""
+    """Decode an owner's row."""
     row = orjson.loads(value)
     granted = row.get("granted", 0.0)
     return Owner(pool, row["name"], row["life"], row["epoch"], version, granted)
--- a/wigeonhitch/leadership/task.py
+++ b/wigeonhitch/leadership/task.py
@@ -1,6 +1,6 @@
 """The task that renews this daemon's lease and claims vacant pools.
 
-A daemon without a lease only looks at the members from time to time.
+A daemon without a lease only polls the members from time to time.
 """
 
 from collections.abc import Callable
@@ -14,47 +14,47 @@
 
 __all__ = ["LeaderElector"]
 
-TIMEOUT = 0.9
-"""Seconds for one call: 4 ms as a rule, 0.2 to 0.4 s where the store is slow;
-two renewals fit into a lease of 2.2 s."""
+CALL_TIMEOUT_SECONDS = 0.9
+"""Timeout of one call to the store. A call usually takes 4 ms, and 0.2 to 0.4 s with a
+slow store; two timed-out renewals fit into a lease of 2.2 s."""
 
-MEMBERS_RETRY = 0.45
-"""Seconds between two looks at the members where the first one failed."""
+MEMBERS_RETRY_SECONDS = 0.45
+"""Delay before the members are polled again after a failed poll."""
 
-MEMBERS_WAIT = 0.01
-"""Seconds that the feed of members waits; there is mostly something new."""
+MEMBERS_FEED_WAIT_SECONDS = 0.01
+"""Time that the feed of members waits for changes; there usually are some already."""
 
-FORGET_PERIOD = 10.0
-"""Seconds between looks for members that are long gone."""
+CLEANUP_INTERVAL_SECONDS = 10.0
+"""Interval between removals of expired member rows."""
 
-FEED_WAIT = 1.5
-"""Seconds that the feed of owners waits."""
+OWNERS_FEED_WAIT_SECONDS = 1.5
+"""Time that the feed of owners waits for changes."""
 
-RETRY = 0.1
-"""Seconds between tries of a call that failed."""
+RETRY_SECONDS = 0.1
+"""Delay before a failed call is retried."""
 
-CLAIM_PERIOD = 0.05
-"""Seconds between a candidate's looks at what is vacant."""
+CLAIM_INTERVAL_SECONDS = 0.05
+"""Interval at which a candidate checks for vacant pools."""
 
 
 class LeaderElector:
-    """Keeps this daemon's part in leading pools.
+    """Takes part in the leader election of all pools for this daemon.
 
     Parameters
     ----------
     leadership : core.Leadership
-        The decisions.
+        Decisions on leases and claims.
     store : rows.RowStore
-        The platform's store.
+        Store of the platform.
     list_pools : callable
         Returns the pools of the configuration in force; none before there is one.
-    on_led : callable
-        Takes the owner row of a pool that this daemon leads from now on.
+    on_elected : callable
+        Called with the owner row of a pool that this daemon leads from now on.
     on_lost : callable
-        Takes the name of a pool that this daemon leads no more.
+        Called with the name of a pool that this daemon no longer leads.
     get_granted : callable
-        Returns the longest lease in seconds that workers may have of a pool's
-        leader; 0 when it isn't known.
+        Returns the longest lease in seconds that workers may hold from a pool's
+        leader; 0 if unknown.
     """
 
     def __init__(
@@ -62,311 +62,337 @@
         leadership: core.Leadership,
         store: rows.RowStore,
         list_pools: Callable[[], list[str]],
-        on_led: Callable[[record.Owner], None],
+        on_elected: Callable[[record.Owner], None],
         on_lost: Callable[[str], None],
         get_granted: Callable[[str], float],
     ) -> None:
         self.leadership = leadership
         self.last_renewed_at = 0.0
-        """When the lease was last renewed."""
+        """Time of the last successful renewal, as sent."""
         self._store = store
         self._list_pools = list_pools
-        self._on_led = on_led
+        self._on_elected = on_elected
         self._on_lost = on_lost
         self._get_granted = get_granted
-        self._version = 0
+        self._member_version = 0
         self._is_claiming = False
         self._renewals = log.Dependency("renewal of the lease")
-        self._read: set[str] = set()
-        self._not_before: dict[str, float] = {}
-        """When a pool whose claim the store refused may be claimed again."""
-        self._led: dict[str, int] = {}
-        """Newest version of each pool's owner row under which this daemon led."""
+        self._pools_read: set[str] = set()
+        self._retry_not_before: dict[str, float] = {}
+        """Earliest time of the next claim of a pool whose claim the store refused."""
+        self._led_versions: dict[str, int] = {}
+        """Newest version of each pool's owner row under which this daemon has led."""
 
     def may_order(self) -> bool:
-        """Whether this daemon's lease lasts at this moment."""
-        return self.leadership.is_valid(http.read_clock())
+        """Return whether this daemon's lease is valid at this moment."""
+        return self.leadership.is_lease_valid(http.read_clock())
 
     async def run(self) -> None:
-        """Renew, read and claim until cancelled."""
+        """Renew the lease, follow members and owners, and claim until cancelled."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._renew_forever)
+            group.start_soon(self._run_renewal)
             group.start_soon(self._follow_members)
             group.start_soon(self._follow_owners)
-            group.start_soon(self._forget_forever)
-            await self._claim_forever()
+            group.start_soon(self._run_cleanup)
+            await self._run_claims()
 
     async def leave(self) -> None:
-        """Say that this daemon leaves, and give up what it leads."""
+        """Announce that this daemon leaves, and give up the pools that it leads."""
         self.leadership.leaving = True
         owners = self.leadership.owners
-        # Another may claim one while those before it are given up.
-        for owner in [owners[one] for one in owners if self._leads(one)]:
+        # Another daemon may claim a pool while earlier ones are given up.
+        for owner in [owners[pool] for pool in owners if self._is_leader(pool)]:
             await self._give_up(owner)
         if self.leadership.is_candidate:
             await self._renew()
 
     async def give_up(self, pool: str) -> None:
-        """Stop leading a pool and leave it to whoever claims it first."""
+        """Stop leading a pool, so that any candidate may claim it."""
         await self._give_up(self.leadership.owners[pool])
 
     async def _give_up(self, owner: record.Owner) -> None:
-        """Give up the leadership under a row, unless the row has changed since."""
+        """Give up the leadership under an owner row, unless the row has changed."""
         pool = owner.pool
         granted = self._get_granted(pool)
         self._on_lost(pool)
-        given = owner._replace(name="", life="", granted=granted)
-        expected = (record.expect_owner(pool, owner.version),)
-        change = await self._write_owner(given, expected)
-        # Nobody claims a pool whose row names a daemon that lives.
+        vacated = owner._replace(name="", life="", granted=granted)
+        conditions = (record.expect_owner(pool, owner.version),)
+        change = await self._write_owner(vacated, conditions)
+        # Nobody claims a pool whose owner row names a live daemon.
         while change.outcome is not table.Outcome.DONE and change.reason != "conflict":
-            await anyio.sleep(RETRY)
-            change = await self._write_owner(given, expected)
+            await anyio.sleep(RETRY_SECONDS)
+            change = await self._write_owner(vacated, conditions)
         if change.outcome is table.Outcome.DONE:
-            self.leadership.on_owner(given._replace(version=change.version))
+            self.leadership.on_owner(vacated._replace(version=change.version))
         log.log_change("leadership given up", pool=pool, reason=change.reason)
 
-    def _leads(self, pool: str) -> bool:
+    def _is_leader(self, pool: str) -> bool:
         return self.leadership.is_leader(pool)
 
     # -- the lease
 
-    async def _renew_forever(self) -> None:
+    async def _run_renewal(self) -> None:
         """Renew the lease while this daemon is a candidate."""
-        while not await self._read_own():
-            await anyio.sleep(RETRY)
+        while not await self._read_own_row():
+            await anyio.sleep(RETRY_SECONDS)
         while True:
-            began = http.read_clock()
-            if self._should_stand_down(began):
-                log.log_change("candidate no more", candidates=self._count_live())
+            started_at = http.read_clock()
+            if self._should_step_down(started_at):
+                log.log_change(
+                    "candidate no longer", candidates=self._count_live_members()
+                )
             done = self.leadership.is_candidate and await self._renew()
-            passed = http.read_clock() - began
-            await anyio.sleep(max(RETRY, core.RENEWAL - passed) if done else RETRY)
+            elapsed = http.read_clock() - started_at
+            await anyio.sleep(
+                max(RETRY_SECONDS, core.RENEWAL_INTERVAL_SECONDS - elapsed)
+                if done
+                else RETRY_SECONDS
+            )
 
-    def _should_stand_down(self, now: float) -> bool:
+    def _should_step_down(self, now: float) -> bool:
         if not self.leadership.is_candidate or self._is_claiming:
             return False
-        return self.leadership.consider_standing_down(len(self._list_pools()), now)
+        return self.leadership.consider_stepping_down(len(self._list_pools()), now)
 
-    def _count_live(self) -> int:
-        return len(self.leadership.list_live(http.read_clock()))
+    def _count_live_members(self) -> int:
+        return len(self.leadership.list_live_members(http.read_clock()))
 
     async def _renew(self) -> bool:
         if not self.leadership.clock.is_known:
             return False
         member = self.leadership.plan_renewal(http.read_clock())
         name = self.leadership.name
-        condition = record.expect_member(name, self._version)
+        condition = record.expect_member(name, self._member_version)
         value = record.write_member(member)
         write = rows.Write(record.MEMBER_TABLE, name, name, value)
         change = await self._store.commit(
-            rows.Transaction((condition,), (write,)), timeout=TIMEOUT
+            rows.Transaction((condition,), (write,)), timeout=CALL_TIMEOUT_SECONDS
         )
         if change.reason == "conflict":
-            self._version = _find_version(change.conflicts, name)
+            self._member_version = _find_version(change.conflicts, name)
             return False
         done = change.outcome is table.Outcome.DONE
         self._renewals.note(done, change.reason)
         if not done:
             return False
-        self._version = change.version
-        self.leadership.clock.learn(change.store_time, change.sent, change.received)
+        self._member_version = change.version
+        self.leadership.clock.update(change.store_time, change.sent, change.received)
         if not self.may_order():
-            self._lose_all(change.version)
+            self._end_lapsed_leaderships(change.version)
         self.leadership.on_renewed(member._replace(version=change.version))
         self.last_renewed_at = change.sent
         return True
 
-    def _lose_all(self, version: int) -> None:
-        """After a lapse, lead nothing that isn't claimed anew.
+    def _end_lapsed_leaderships(self, version: int) -> None:
+        """After a lapse, stop leading all pools that were claimed before it ended.
 
-        What was claimed after the renewal that ends it stays, though the claim's
-        answer came first: lost here and still led by its row, a pool would stand
-        still.
+        A claim that the store applied after the renewal stays in force, even if its
+        answer arrived first: dropped here and still led by its row, the pool would
+        have no active leader.
         """
-        led = [one for one in self.leadership.owners if self._leads(one)]
+        led_pools = [pool for pool in self.leadership.owners if self._is_leader(pool)]
         self.leadership.on_lapsed(version)
-        for pool in [one for one in led if not self._leads(one)]:
+        for pool in [pool for pool in led_pools if not self._is_leader(pool)]:
             log.log_change("leadership lapsed", pool=pool, version=version)
             self._on_lost(pool)
 
     # -- members and owners
 
-    async def _read_own(self) -> bool:
-        """Read this daemon's own row: its version, and the store's clock.
+    async def _read_own_row(self) -> bool:
+        """Read this daemon's own member row: its version, and the store's clock.
 
-        A daemon that has a row was a candidate in its former life, and is one again at
-        once: what it led then, it can claim before anybody else.
+        A daemon that has a row was a candidate before its restart, and becomes one
+        again at once: it can claim the pools that it led before any other daemon can.
         """
         name = self.leadership.name
-        read = await self._store.read(record.MEMBER_TABLE, name, timeout=TIMEOUT)
+        read = await self._store.read(
+            record.MEMBER_TABLE, name, timeout=CALL_TIMEOUT_SECONDS
+        )
         if read.outcome is not table.Outcome.DONE:
             return False
-        self.leadership.clock.learn(read.store_time, read.sent, read.received)
+        self.leadership.clock.update(read.store_time, read.sent, read.received)
         for row in read.rows:
-            self._version = row.version
+            self._member_version = row.version
             self.leadership.is_candidate = True
         return True
 
     async def _follow_members(self) -> None:
-        """Follow all members; each has a part of its own.
+        """Follow all members; each has its own part of the table.
 
-        In one part their renewals would wait for each other: with a store that
-        takes 0.2 s a transaction nine daemons' renewals took up to 0.7 s.
+        In a single part their renewals would be serialised: with a store that takes
+        0.2 s per transaction, the renewals of nine daemons took up to 0.7 s.
         """
         after = 0
         while True:
             if not after:
                 after = await self._read_members()
-            news = await self._store.follow(
-                record.MEMBER_TABLE, after, wait=MEMBERS_WAIT, timeout=TIMEOUT
+            feed_answer = await self._store.follow(
+                record.MEMBER_TABLE,
+                after,
+                wait=MEMBERS_FEED_WAIT_SECONDS,
+                timeout=CALL_TIMEOUT_SECONDS,
             )
-            pause = MEMBERS_RETRY
-            if news.expired:
+            delay = MEMBERS_RETRY_SECONDS
+            if feed_answer.expired:
                 after = 0
-            elif news.outcome is table.Outcome.DONE:
-                after = max(after, news.version)
-                if self._take_news(news):
-                    # Others that are about to join hear of it the sooner.
+            elif feed_answer.outcome is table.Outcome.DONE:
+                after = max(after, feed_answer.version)
+                if self._apply_member_feed(feed_answer):
+                    # Other daemons that are about to join learn of it sooner.
                     await self._renew()
-                pause = self.leadership.plan_look(http.read_clock())
-            await anyio.sleep(pause)
+                delay = self.leadership.compute_poll_delay(http.read_clock())
+            await anyio.sleep(delay)
 
-    def _take_news(self, news: rows.Feed) -> bool:
-        """Take the members that have changed; return whether this daemon joins them."""
+    def _apply_member_feed(self, answer: rows.Feed) -> bool:
+        """Apply changed members; return whether this daemon becomes a candidate."""
         now = http.read_clock()
         if not self.leadership.is_candidate:
-            # A candidate's own renewals tell the time more closely.
-            self.leadership.clock.learn(news.store_time, news.sent, news.received)
-        self._take_members(news.rows, news.version, news.store_time)
+            # A candidate's own renewals bound the store's clock more closely.
+            self.leadership.clock.update(
+                answer.store_time, answer.sent, answer.received
+            )
+        self._apply_member_rows(answer.rows, answer.version, answer.store_time)
         if not self.leadership.consider_joining(len(self._list_pools()), now):
             return False
-        self._read.clear()
-        log.log_change("candidate now", candidates=self._count_live())
+        self._pools_read.clear()
+        log.log_change("candidate now", candidates=self._count_live_members())
         return True
 
     async def _read_members(self) -> int:
-        """Read each member; return a version to follow from, or 0."""
-        parts = await self._store.list_parts(record.MEMBER_TABLE, timeout=TIMEOUT)
+        """Read all members; return a version to follow from, or 0."""
+        parts = await self._store.list_parts(
+            record.MEMBER_TABLE, timeout=CALL_TIMEOUT_SECONDS
+        )
         return await feed.read_parts(self._read_member, parts.names or ())
 
     async def _read_member(self, part: str) -> rows.Range:
-        read = await self._store.read(record.MEMBER_TABLE, part, timeout=TIMEOUT)
+        read = await self._store.read(
+            record.MEMBER_TABLE, part, timeout=CALL_TIMEOUT_SECONDS
+        )
         if read.outcome is table.Outcome.DONE:
-            self._take_members(read.rows, 0)
+            self._apply_member_rows(read.rows, 0)
         return read
 
-    async def _forget_forever(self) -> None:
-        """Remove rows of members that are long gone, where this daemon leads."""
+    async def _run_cleanup(self) -> None:
+        """Remove expired member rows while this daemon leads the fleet."""
         while True:
-            await anyio.sleep(FORGET_PERIOD)
-            if not self._leads(core.FLEET) or not self.may_order():
+            await anyio.sleep(CLEANUP_INTERVAL_SECONDS)
+            if not self._is_leader(core.FLEET) or not self.may_order():
                 continue
-            names = self.leadership.list_long_gone(http.read_clock())
-            # One may be back while those before it are forgotten.
+            names = self.leadership.list_expired_members(http.read_clock())
+            # A member may be back while the rows before its own are removed.
             for member in [self.leadership.members[name] for name in names]:
-                await self._forget(member)
+                await self._remove_member_row(member)
 
-    async def _forget(self, member: record.Member) -> None:
+    async def _remove_member_row(self, member: record.Member) -> None:
         """Remove a member's row, unless it has renewed its lease since."""
         condition = record.expect_member(member.name, member.version)
         write = rows.Write(*condition[:3], None)
         change = await self._store.commit(
-            rows.Transaction((condition,), (write,)), timeout=TIMEOUT
+            rows.Transaction((condition,), (write,)), timeout=CALL_TIMEOUT_SECONDS
         )
-        log.log_change("member forgotten", member=member.name, reason=change.reason)
+        log.log_change("member row removed", member=member.name, reason=change.reason)
 
-    def _take_members(
-        self, found: tuple[rows.Row, ...], version: int, store_time: float = 0.0
+    def _apply_member_rows(
+        self, changed: tuple[rows.Row, ...], version: int, store_time: float = 0.0
     ) -> None:
-        for row in found:
+        for row in changed:
             if row.value is None:
-                self.leadership.forget(row.key)
+                self.leadership.remove_member(row.key)
         members = [
             record.read_member(row.key, row.value, row.version)
-            for row in found
+            for row in changed
             if row.value is not None
         ]
         now = http.read_clock()
         self.leadership.on_members(members, version, now, store_time)
 
     async def _follow_owners(self) -> None:
-        times = feed.Times(FEED_WAIT, FEED_WAIT + TIMEOUT, RETRY)
+        times = feed.Times(
+            OWNERS_FEED_WAIT_SECONDS,
+            OWNERS_FEED_WAIT_SECONDS + CALL_TIMEOUT_SECONDS,
+            RETRY_SECONDS,
+        )
         await feed.follow(
             self._store,
             record.OWNER_TABLE,
             self._read_owners,
-            self._take_owners,
+            self._apply_owner_rows,
             times,
             lambda: self.leadership.is_candidate,
         )
 
     async def _read_owners(self) -> int:
         """Read the owner of each pool; return a version to follow from, or 0."""
-        led = await self._store.list_parts(record.OWNER_TABLE, timeout=TIMEOUT)
-        if led.names is None:
+        parts = await self._store.list_parts(
+            record.OWNER_TABLE, timeout=CALL_TIMEOUT_SECONDS
+        )
+        if parts.names is None:
             return 0
-        pools = dict.fromkeys((*self._list_pools(), *led.names))
+        pools = dict.fromkeys((*self._list_pools(), *parts.names))
         return await feed.read_parts(self._read_owner, pools)
 
     async def _read_owner(self, pool: str) -> rows.Range:
-        read = await self._store.read(record.OWNER_TABLE, pool, timeout=TIMEOUT)
+        read = await self._store.read(
+            record.OWNER_TABLE, pool, timeout=CALL_TIMEOUT_SECONDS
+        )
         if read.outcome is table.Outcome.DONE:
-            self._read.add(pool)
-            self._take_owners(read.rows)
+            self._pools_read.add(pool)
+            self._apply_owner_rows(read.rows)
         return read
 
-    def _take_owners(self, found: tuple[rows.Row, ...]) -> None:
-        for row in found:
-            self._take_owner(row)
+    def _apply_owner_rows(self, changed: tuple[rows.Row, ...]) -> None:
+        for row in changed:
+            self._apply_owner_row(row)
 
-    def _take_owner(self, row: rows.Row) -> None:
+    def _apply_owner_row(self, row: rows.Row) -> None:
         if row.value is None:
             return
-        was_mine = self._leads(row.part)
+        was_leader = self._is_leader(row.part)
         owner = record.read_owner(row.part, row.value, row.version)
         self.leadership.on_owner(owner)
-        if was_mine and not self._leads(row.part):
+        if was_leader and not self._is_leader(row.part):
             log.log_change("leadership lost", pool=row.part, to=owner.name)
             self._on_lost(row.part)
-        elif self._leads(row.part) and not self.leadership.leaving:
-            self._lead(owner)
+        elif self._is_leader(row.part) and not self.leadership.leaving:
+            self._start_leading(owner)
 
     # -- claims
 
-    def _list_led(self) -> list[str]:
-        """Return the pools that need a leader, and those that have had one.
+    def _list_claimable_pools(self) -> list[str]:
+        """Return the configured pools, and those that have had a leader.
 
         The configuration may drop a pool that still holds open jobs.
         """
-        wanted = self._list_pools()
-        if not wanted:
+        configured = self._list_pools()
+        if not configured:
             return []
-        return list(dict.fromkeys((*wanted, *self.leadership.owners)))
+        return list(dict.fromkeys((*configured, *self.leadership.owners)))
 
-    async def _claim_forever(self) -> None:
+    async def _run_claims(self) -> None:
         while True:
-            pools = self._list_led() if self.leadership.is_candidate else []
-            for pool in [one for one in pools if one not in self._read]:
+            pools = self._list_claimable_pools() if self.leadership.is_candidate else []
+            for pool in [name for name in pools if name not in self._pools_read]:
                 await self._read_owner(pool)
             now = http.read_clock()
-            known = [
-                one
-                for one in pools
-                if one in self._read and now >= self._not_before.get(one, 0.0)
+            claimable = [
+                pool
+                for pool in pools
+                if pool in self._pools_read
+                and now >= self._retry_not_before.get(pool, 0.0)
             ]
-            claims = self.leadership.list_claims(known, now)
-            if claims:  # one at a time: news may come while it is written
+            claims = self.leadership.list_pools_to_claim(claimable, now)
+            if claims:  # one at a time: rows may change while it is written
                 await self._claim(claims[0])
                 continue
-            if pool := self.leadership.find_yield(http.read_clock()):
+            if pool := self.leadership.find_pool_to_hand_over(http.read_clock()):
                 log.log_change("leadership handed over", pool=pool)
                 await self.give_up(pool)
             is_candidate = self.leadership.is_candidate
-            await anyio.sleep(CLAIM_PERIOD if is_candidate else RETRY)
+            await anyio.sleep(CLAIM_INTERVAL_SECONDS if is_candidate else RETRY_SECONDS)
 
     async def _claim(self, pool: str) -> None:
-        """Claim a pool; this daemon stays a candidate meanwhile."""
+        """Claim a pool; this daemon doesn't step down meanwhile."""
         self._is_claiming = True
         try:
             await self._try_claim(pool)
@@ -374,10 +400,10 @@
             self._is_claiming = False
 
     async def _try_claim(self, pool: str) -> None:
-        claim = self.leadership.make_claim(pool)
+        claim = self.leadership.build_claim(pool)
         basis = self.leadership.explain_claim(pool, http.read_clock())
-        expected = self.leadership.build_claim_conditions(pool)
-        change = await self._write_owner(claim, expected)
+        conditions = self.leadership.build_claim_conditions(pool)
+        change = await self._write_owner(claim, conditions)
         log.log_change(
             "claim answered",
             pool=pool,
@@ -386,62 +412,63 @@
         )
         if change.outcome is not table.Outcome.DONE:
             if change.reason == "conflict":
-                self._take_conflicts(expected, change.conflicts)
-            else:  # others' calls and other pools' claims go first
-                self._not_before[pool] = http.read_clock() + core.RANK_PAUSE
-            # The answer may be lost, or somebody was first: the row tells.
+                self._apply_conflicts(conditions, change.conflicts)
+            else:  # let other daemons' calls and claims of other pools go first
+                self._retry_not_before[pool] = (
+                    http.read_clock() + core.CLAIM_STAGGER_SECONDS
+                )
+            # The answer was lost or another daemon claimed first: the row shows which.
             await self._read_owner(pool)
             return
         self.leadership.on_owner(claim._replace(version=change.version))
-        # A lapse, or another's claim, may have followed before the answer came.
-        if not self._leads(pool):
+        # A lapse or another daemon's claim may have followed before the answer came.
+        if not self._is_leader(pool):
             return
         if self.leadership.leaving:
             await self._give_up(self.leadership.owners[pool])
         else:
-            self._lead(self.leadership.owners[pool])
+            self._start_leading(self.leadership.owners[pool])
 
-    def _take_conflicts(
-        self, expected: tuple[rows.Condition, ...], found: tuple[rows.Row, ...]
+    def _apply_conflicts(
+        self, conditions: tuple[rows.Condition, ...], conflicts: tuple[rows.Row, ...]
     ) -> None:
-        """Take the renewals and removals of members that a claim failed for."""
-        for gone in rows.list_gone(expected, found):
-            if gone.table == record.MEMBER_TABLE:
-                self.leadership.forget(gone.key)
-        for row in found:
+        """Apply the renewals and removals of members that made a claim fail."""
+        for removed in rows.list_gone(conditions, conflicts):
+            if removed.table == record.MEMBER_TABLE:
+                self.leadership.remove_member(removed.key)
+        for row in conflicts:
             if row.table != record.MEMBER_TABLE:
                 continue
             if row.value is None:
-                self.leadership.forget(row.key)
+                self.leadership.remove_member(row.key)
                 continue
             member = record.read_member(row.key, row.value, row.version)
             self.leadership.on_member(member, http.read_clock())
 
-    def _lead(self, owner: record.Owner) -> None:
-        """Lead under an owner row, once.
+    def _start_leading(self, owner: record.Owner) -> None:
+        """Start leading under an owner row, at most once per row version.
 
-        The row may be news from the feed too: a claim without an answer can be
-        done seconds later. It then names a daemon that lives, so nobody else
-        claims the pool.
+        The row may also come from the feed: a claim without an answer can be applied
+        seconds later. It then names a live daemon, so nobody else claims the pool.
         """
-        if owner.version <= self._led.get(owner.pool, 0):
+        if owner.version <= self._led_versions.get(owner.pool, 0):
             return
-        self._led[owner.pool] = owner.version
+        self._led_versions[owner.pool] = owner.version
         log.log_change(
             "leadership claimed",
             pool=owner.pool,
             fence=owner.version,
             epoch=owner.epoch,
         )
-        self._on_led(owner)
+        self._on_elected(owner)
 
     async def _write_owner(
-        self, owner: record.Owner, expected: tuple[rows.Condition, ...]
+        self, owner: record.Owner, conditions: tuple[rows.Condition, ...]
     ) -> rows.Change:
         place = (record.OWNER_TABLE, owner.pool, record.OWNER_KEY)
         write = rows.Write(*place, record.write_owner(owner))
         return await self._store.commit(
-            rows.Transaction(expected, (write,)), timeout=TIMEOUT
+            rows.Transaction(conditions, (write,)), timeout=CALL_TIMEOUT_SECONDS
         )
 
 
--- a/wigeonhitch/leadership/term.py
+++ b/wigeonhitch/leadership/term.py
@@ -6,26 +6,26 @@
 
 
 class Term:
-    """One leadership, from its claim until it is over; it never resumes.
+    """One term of leadership, from the claim until it ends; it never resumes.
 
-    A daemon's lease may last though a pool that it led is lost, and tasks of that
-    leadership take one more step before they end. So the right to order is the
-    term's, not the daemon's.
+    The daemon's lease may outlast the leadership of a pool, and tasks of that
+    leadership take one more step before they are cancelled. The right to give orders
+    therefore belongs to the term and not to the daemon.
 
     Parameters
     ----------
     is_lease_valid : callable
-        Whether this daemon's lease lasts at this moment.
+        Returns whether this daemon's lease is valid at this moment.
     """
 
     def __init__(self, is_lease_valid: Callable[[], bool]) -> None:
         self._is_lease_valid = is_lease_valid
-        self._is_over = False
+        self._has_ended = False
 
     def end(self) -> None:
-        """Give no order any more."""
-        self._is_over = True
+        """End the term; no order may be given afterwards."""
+        self._has_ended = True
 
     def may_order(self) -> bool:
-        """Whether an order may be given at this moment."""
-        return not self._is_over and self._is_lease_valid()
+        """Return whether an order may be given at this moment."""
+        return not self._has_ended and self._is_lease_valid()
--- a/wigeonhitch/leadership/tests/history.py
+++ b/wigeonhitch/leadership/tests/history.py
@@ -23,8 +23,8 @@
 QUICK = (0.001, 0.01)
 """Seconds that a call takes each way without trouble."""
 
-LONG_GONE = 8.0
-FORGET_PERIOD = 2.0
+MEMBER_RETENTION_SECONDS = 8.0
+CLEANUP_INTERVAL_SECONDS = 2.0
 """Shortened, so that rows of members are removed within a history."""
 
 BOUND = 6.5
@@ -85,12 +85,12 @@
             leadership,
             simulation.StoreClient(),
             lambda: POOLS,
-            self.on_led,
+            self.on_elected,
             self.on_lost,
             lambda _: 1.0,
         )
 
-    def on_led(self, owner: record.Owner) -> None:
+    def on_elected(self, owner: record.Owner) -> None:
         """Begin a leadership as `site.daemon` and a pool's runner do."""
         self.on_lost(owner.pool)
         self.led[owner.pool] = (owner, term.Term(self.keeper.may_order))
@@ -193,20 +193,20 @@
             put(feed, "anyio", self)
             put(http, "read_clock", lambda: self.read_clock(self._current))
             put(log, "log_change", self._note)
-            put(core, "LONG_GONE", LONG_GONE)
-            put(task, "FORGET_PERIOD", FORGET_PERIOD)
+            put(core, "MEMBER_RETENTION_SECONDS", MEMBER_RETENTION_SECONDS)
+            put(task, "CLEANUP_INTERVAL_SECONDS", CLEANUP_INTERVAL_SECONDS)
             if self._candidates:
-                put(candidacy, "compute_wanted", lambda _: self._candidates)
+                put(candidacy, "compute_target_count", lambda _: self._candidates)
             if "heard_end" in off:
-                put(lead, "_has_heard_end", lambda *_: True)
+                put(lead, "_is_lapse_confirmed", lambda *_: True)
             if "member_row" in off:
                 put(lead, "build_claim_conditions", lambda *args: expect(*args)[:1])
             if "lapse_loses" in off:
                 put(lead, "on_lapsed", lambda *_: None)
             if "holder_lease" in off:
-                put(lead, "is_valid", lambda one, _: one.until > 0)
+                put(lead, "is_lease_valid", lambda one, _: one.lease_until > 0)
             if "holder_margin" in off:
-                put(lead, "is_valid", _is_valid_to_the_end)
+                put(lead, "is_lease_valid", _is_valid_to_the_end)
             if "term_ends" in off:
                 put(term.Term, "end", lambda _: None)
             yield
@@ -218,7 +218,7 @@
     def take_step(self, life: Life, action: Callable[[], None]) -> None:
         """Take one step of a daemon, and check what it may do then."""
         leadership = life.keeper.leadership
-        has_lapsed = self.now + simulation.STORE_OFFSET > leadership.until
+        has_lapsed = self.now + simulation.STORE_OFFSET > leadership.lease_until
         action()
         if has_lapsed and life.keeper.may_order():
             member = leadership.members.get(life.name)
@@ -379,4 +379,4 @@
 
 
 def _is_valid_to_the_end(one: core.Leadership, now: float) -> bool:
-    return one.clock.compute_latest(now) < one.until
+    return one.clock.compute_latest(now) < one.lease_until
--- a/wigeonhitch/leadership/tests/test_candidates.py
+++ b/wigeonhitch/leadership/tests/test_candidates.py
@@ -15,7 +15,7 @@
 WITHIN = 40
 """Seeds of which one must fail with a mechanism off."""
 
-TAKEOVER = core.LEASE + 0.45 + 2 * core.RANK_PAUSE
+TAKEOVER = core.LEASE_SECONDS + 0.45 + 2 * core.CLAIM_STAGGER_SECONDS
 """Seconds that a pool may stand without a leader when all candidates are lost: a
 lease, and what news of members each 0.45 s and the ranks of candidates take."""
 
@@ -71,7 +71,7 @@
 
 def make_daemon(name, members, *, cores=1.0, now=100.0):
     one = core.Leadership(name, f"life-{name}", now - 10.0, cores)
-    one.clock.learn(now, now, now)
+    one.clock.update(now, now, now)
     one.on_members(members, 50, now)
     return one
 
@@ -84,7 +84,7 @@
 
 
 def test_hundreds_of_daemons_leave_it_to_the_candidates():
-    one = make_daemon("x", make_members(candidacy.LEAST))
+    one = make_daemon("x", make_members(candidacy.MIN_CANDIDATES))
 
     assert not one.consider_joining(5, 100.0)
     assert not one.consider_joining(5, 101.0)
@@ -93,11 +93,11 @@
 def test_the_strong_join_first_where_a_candidate_is_missing():
     """Half of the daemons are weak: a core of two lets them wait four times less."""
     waits = [
-        [candidacy.compute_backoff(f"d{n}", 50, cores) for n in range(100)]
+        [candidacy.compute_join_backoff(f"d{n}", 50, cores) for n in range(100)]
         for cores in (2.0, 0.5)
     ]
 
-    assert max(waits[0]) <= candidacy.BACKOFF / 2
+    assert max(waits[0]) <= candidacy.MAX_JOIN_BACKOFF_SECONDS / 2
     assert sum(waits[1]) > 3 * sum(waits[0])
 
 
@@ -105,8 +105,8 @@
     one = make_daemon("x", [])
 
     assert not one.consider_joining(5, 100.0)
-    wait = one.plan_look(100.0)
-    assert wait <= candidacy.BACKOFF + core.RETURN_PAUSE
+    wait = one.compute_poll_delay(100.0)
+    assert wait <= candidacy.MAX_JOIN_BACKOFF_SECONDS + core.RECONNECT_DELAY_SECONDS
     one.on_members([], 51, 100.0 + wait + 0.001)
     assert one.consider_joining(5, 100.0 + wait + 0.001)
 
@@ -118,7 +118,7 @@
     one.on_members([], 60, 105.0)
 
     assert not one.consider_joining(5, 105.0)
-    assert one.plan_look(105.0) >= core.RETURN_PAUSE
+    assert one.compute_poll_delay(105.0) >= core.RECONNECT_DELAY_SECONDS
     one.on_members(make_members(8, until=107.0), 61, 105.4)
     assert not one.consider_joining(5, 105.4)
 
@@ -126,7 +126,9 @@
 def test_the_next_look_is_when_the_first_lease_has_run_out():
     one = make_daemon("x", [*make_members(8), record.Member("m", "life", 100.5)])
 
-    assert one.plan_look(100.0) == pytest.approx(0.5 + core.MARGIN + core.LOOK_LATE)
+    assert one.compute_poll_delay(100.0) == pytest.approx(
+        0.5 + core.LEASE_MARGIN_SECONDS + core.POLL_DELAY_SECONDS
+    )
 
 
 def make_candidate(name, members, *, cores):
@@ -138,21 +140,28 @@
 
 @pytest.mark.parametrize(("cores", "stays"), [(0.5, False), (2.0, True)])
 def test_of_too_many_candidates_the_weakest_stands_down(cores, stays):
-    one = make_candidate("x", make_members(candidacy.LEAST, until=110.0), cores=cores)
+    one = make_candidate(
+        "x", make_members(candidacy.MIN_CANDIDATES, until=110.0), cores=cores
+    )
 
-    assert not one.consider_standing_down(5, 100.0)
+    assert not one.consider_stepping_down(5, 100.0)
     one.on_renewed(record.Member("x", "life-x", 105.3, cores=cores))
-    assert one.consider_standing_down(5, 100.1 + core.YIELD_PAUSE) is not stays
+    assert (
+        one.consider_stepping_down(5, 100.1 + core.HANDOVER_INTERVAL_SECONDS)
+        is not stays
+    )
     assert one.is_candidate is stays
-    assert one.is_valid(100.1 + core.YIELD_PAUSE) is stays
+    assert one.is_lease_valid(100.1 + core.HANDOVER_INTERVAL_SECONDS) is stays
 
 
 def test_a_leader_does_not_stand_down():
-    one = make_candidate("x", make_members(candidacy.LEAST, until=110.0), cores=0.5)
+    one = make_candidate(
+        "x", make_members(candidacy.MIN_CANDIDATES, until=110.0), cores=0.5
+    )
     one.on_owner(record.Owner("p", "x", "life-x", 1, 10))
 
-    for now in (100.0, 100.1 + core.YIELD_PAUSE):
-        assert not one.consider_standing_down(5, now)
+    for now in (100.0, 100.1 + core.HANDOVER_INTERVAL_SECONDS):
+        assert not one.consider_stepping_down(5, now)
 
 
 def test_a_daemon_that_restarted_claims_what_its_former_life_led_at_once():
@@ -160,5 +169,5 @@
     one = make_candidate("x", make_members(8), cores=1.0)
     one.on_owner(record.Owner("p", "x", "a former life", 1, 10))
 
-    assert one.list_claims(["p"], 100.0) == ["p"]
-    assert one.explain_claim("p", 100.0).reason is core.Vacancy.RESTARTED
+    assert one.list_pools_to_claim(["p"], 100.0) == ["p"]
+    assert one.explain_claim("p", 100.0).reason is core.VacancyReason.RESTARTED
--- a/wigeonhitch/leadership/tests/test_claims.py
+++ b/wigeonhitch/leadership/tests/test_claims.py
@@ -68,9 +68,9 @@
         led = keeper.may_order() and keeper.leadership.is_leader("p")
 
     renew, keeper.leadership.on_renewed = keeper.leadership.on_renewed, on_renewed
-    await keeper._read_own()
+    await keeper._read_own_row()
     await keeper._renew()
-    for pool in keeper.leadership.list_claims(["p"], http.read_clock()):
+    for pool in keeper.leadership.list_pools_to_claim(["p"], http.read_clock()):
         await keeper._claim(pool)
     return led
 
@@ -118,12 +118,12 @@
             owner = record.Owner("p", "a", "life", 2, 0)
             value = record.write_owner(owner)
             store.put(record.OWNER_TABLE, "p", record.OWNER_KEY, value)
-            keeper._lead(owner._replace(version=store.version))
+            keeper._start_leading(owner._replace(version=store.version))
             keeper.leadership.on_owner(owner._replace(version=store.version))
         return renewed
 
     store.commit = commit
-    await keeper._read_own()
+    await keeper._read_own_row()
     await keeper._renew()
 
     assert keeper.leadership.is_leader("p")
@@ -153,7 +153,7 @@
     store.commit = commit
     if fault:
         setattr(store, fault, 1)
-    await keeper._read_own()
+    await keeper._read_own_row()
     await keeper._claim("p")
 
     assert not keeper.leadership.is_leader("p")
@@ -233,14 +233,14 @@
 ):
     """All daemons share the calls that the store takes; others need them."""
     keeper, _ = lapsing
-    await keeper._read_own()
+    await keeper._read_own_row()
     await keeper._renew()
-    keeper._read.add("p")
+    keeper._pools_read.add("p")
     store.is_down = True
     calls = store.calls
 
     with anyio.move_on_after(0.55):
-        await keeper._claim_forever()
+        await keeper._run_claims()
 
     assert 2 <= store.calls - calls <= 14
 
@@ -275,9 +275,9 @@
     keeper, told = lapsing
     keeper.leadership.on_owner(record.Owner("q", "a", "life", 1, 0))
     keeper._list_pools = lambda: ["p", "q"]
-    await keeper._read_own()
+    await keeper._read_own_row()
     await keeper._renew()
-    keeper._read.update("pq")
+    keeper._pools_read.update("pq")
     whole = store.commit
 
     async def commit(change, *, timeout):
@@ -288,7 +288,7 @@
     store.commit = commit
     told.clear()
     with anyio.move_on_after(0.5):
-        await keeper._claim_forever()
+        await keeper._run_claims()
 
     assert told == [("led", 2)]
 
--- a/wigeonhitch/leadership/tests/test_task.py
+++ b/wigeonhitch/leadership/tests/test_task.py
@@ -99,12 +99,12 @@
     Cause: the removal stood under the newest row known, and not under the one by which
     the member was long gone.
     """
-    monkeypatch.setattr(task, "FORGET_PERIOD", 0.01)
+    monkeypatch.setattr(task, "CLEANUP_INTERVAL_SECONDS", 0.01)
     keeper.leadership.on_owner(record.Owner(core.FLEET, "a", "life", 1, 9))
     for name in ("b", "c"):
         value = record.write_member(record.Member(name, f"life-{name}", 1.0))
         store.put(record.MEMBER_TABLE, name, name, value)
-    await keeper._read_own()
+    await keeper._read_own_row()
     await keeper._renew()
     keeper.leadership.on_owner(record.Owner(core.FLEET, "a", "life", 1, 99))
     await keeper._read_members()
@@ -114,7 +114,7 @@
         done = await whole(change, timeout=timeout)
         if change.writes[0].part == "b":
             store.commit = whole
-            until = rowstore.read_times()[0] + core.LEASE
+            until = rowstore.read_times()[0] + core.LEASE_SECONDS
             back = record.Member("c", "life-c", until)
             store.put(record.MEMBER_TABLE, "c", "c", record.write_member(back))
             await keeper._read_member("c")
@@ -122,7 +122,7 @@
 
     store.commit = commit
     with anyio.move_on_after(0.2):
-        await keeper._forget_forever()
+        await keeper._run_cleanup()
 
     assert store.get(record.MEMBER_TABLE, "b", "b") is None
     assert store.get(record.MEMBER_TABLE, "c", "c") is not None
