--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -86,12 +86,12 @@
 
 def accept_without_condition() -> None:
     """Accept a job whether or not a pool holds it."""
-    original = acceptance._plan_rows
+    original = acceptance._build_transaction
 
     def plan_rows(*given: Any) -> Any:
         return original(*given)._replace(conditions=())
 
-    acceptance._plan_rows = plan_rows
+    acceptance._build_transaction = plan_rows
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
--- a/wigeonhitch/feed.py
+++ b/wigeonhitch/feed.py
@@ -7,10 +7,10 @@
 
 from wigeonhitch.platform import rows, table
 
-__all__ = ["Times", "follow", "read_parts"]
+__all__ = ["FollowTiming", "follow", "read_parts"]
 
 
-class Times(NamedTuple):
+class FollowTiming(NamedTuple):
     """Seconds of one follower."""
 
     wait: float
@@ -36,7 +36,7 @@
     name: str,
     read_all: Callable[[], Awaitable[int]],
     take: Callable[[tuple[rows.Row, ...]], None],
-    times: Times,
+    times: FollowTiming,
     is_wanted: Callable[[], bool] = _always,
     note: Callable[[int], None] = _leave,
 ) -> None:
--- a/wigeonhitch/leadership/task.py
+++ b/wigeonhitch/leadership/task.py
@@ -291,7 +291,7 @@
         self.leadership.on_members(members, version, now, store_time)
 
     async def _follow_owners(self) -> None:
-        times = feed.Times(FEED_WAIT, FEED_WAIT + TIMEOUT, RETRY)
+        times = feed.FollowTiming(FEED_WAIT, FEED_WAIT + TIMEOUT, RETRY)
         await feed.follow(
             self._store,
             record.OWNER_TABLE,
--- a/wigeonhitch/maintenance/task.py
+++ b/wigeonhitch/maintenance/task.py
@@ -142,7 +142,7 @@
             pool_record.BOARD_TABLE,
             self._read_boards,
             self._take_boards,
-            feed.Times(BOARD_WAIT, BOARD_WAIT + TIMEOUT / 2, PERIOD),
+            feed.FollowTiming(BOARD_WAIT, BOARD_WAIT + TIMEOUT / 2, PERIOD),
         )
 
     async def _read_boards(self) -> int:
--- a/wigeonhitch/platform/ingress.py
+++ b/wigeonhitch/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests on jobs, decoded for the desk that answers them."""
+"""Callers' requests on jobs, decoded for the handler that answers them."""
 
 import math
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    desk : message.Desk
+    handler : message.RequestHandler
         Answers the requests.
     is_ready : callable
         Whether the balancer may send new connections.
@@ -39,11 +39,11 @@
 
     def __init__(
         self,
-        desk: message.Desk,
+        handler: message.RequestHandler,
         is_ready: Callable[[], bool],
         is_closing: Callable[[], bool],
     ) -> None:
-        self._desk = desk
+        self._handler = handler
         self._is_ready = is_ready
         self._is_closing = is_closing
 
@@ -55,8 +55,8 @@
             await _send(send, 200 if self._is_ready() else 503, None, {})
             return
         host = _find_host(scope["headers"])
-        queue = self._desk.find_queue(host, scope["path"])
-        body = await _read_body(receive, self._desk.body_limit)
+        queue = self._handler.find_queue(host, scope["path"])
+        body = await _read_body(receive, self._handler.max_body_bytes)
         answer = await self._answer(scope["method"], queue, scope["path"], body)
         headers = {}
         if answer.retry_after:
@@ -76,11 +76,11 @@
             return queue
         id = path[len(queue.prefix) :]
         if method == "GET" and not id:
-            return await self._desk.count(queue)
+            return await self._handler.count(queue)
         if method == "GET":
-            return await self._desk.show(queue, id)
+            return await self._handler.show(queue, id)
         if method == "DELETE":
-            return await self._desk.cancel(queue, id)
+            return await self._handler.cancel(queue, id)
         if method != "POST" or not id or body is None:
             return message.Answer(message.Verdict.INVALID, reason="method, id or body")
         try:
@@ -93,7 +93,7 @@
             OverflowError,
         ) as error:
             return message.Answer(message.Verdict.INVALID, reason=str(error))
-        return await self._desk.submit(queue, job)
+        return await self._handler.submit(queue, job)
 
 
 def read_job(id: str, queue: str, body: bytes) -> model.Job:
--- a/wigeonhitch/platform/tests/test_site.py
+++ b/wigeonhitch/platform/tests/test_site.py
@@ -316,10 +316,10 @@
     assert [(one.id, one.worker) for one in listing.vms] == [("m", "")]
 
 
-class Desk:
+class FakeRequestHandler:
     """Answers all with what the test laid out."""
 
-    body_limit = 100
+    max_body_bytes = 100
 
     def __init__(self, answer):
         self.answer = answer
@@ -343,7 +343,9 @@
 
 
 async def request(answer, method, path, body=b"", *, closing=False, ready=True):
-    application = ingress.Ingress(Desk(answer), lambda: ready, lambda: closing)
+    application = ingress.Ingress(
+        FakeRequestHandler(answer), lambda: ready, lambda: closing
+    )
     sent = []
 
     async def receive():
--- a/wigeonhitch/site/acceptance.py
+++ b/wigeonhitch/site/acceptance.py
@@ -48,7 +48,7 @@
     async def accept(self, queue: model.Queue, job: model.Job) -> message.Answer:
         """Accept a job, or find that it was accepted before."""
         deadline = http.read_clock() + WHOLE_TIMEOUT
-        change = _plan_rows(queue, job)
+        change = _build_transaction(queue, job)
         lost = False
         while True:
             result = await self._commit(change)
@@ -71,7 +71,7 @@
         return result
 
 
-def _plan_rows(queue: model.Queue, job: model.Job) -> rows.Transaction:
+def _build_transaction(queue: model.Queue, job: model.Job) -> rows.Transaction:
     """Return the writing of a job's rows, in its queue's present pool."""
     kept = job._replace(
         attempts=queue.max_attempts,
--- a/wigeonhitch/site/catalogue.py
+++ b/wigeonhitch/site/catalogue.py
@@ -50,7 +50,7 @@
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        times = feed.Times(self._wait, self._wait + SLACK, RETRY)
+        times = feed.FollowTiming(self._wait, self._wait + SLACK, RETRY)
         await feed.follow(
             self._store, entries.OPERATOR_TABLE, self._read_all, self._take_all, times
         )
--- a/wigeonhitch/site/closings.py
+++ b/wigeonhitch/site/closings.py
@@ -50,7 +50,7 @@
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        times = feed.Times(WAIT, WAIT + SLACK, RETRY, PAUSE)
+        times = feed.FollowTiming(WAIT, WAIT + SLACK, RETRY, PAUSE)
         await feed.follow(
             self._store,
             record.CLOSING_TABLE,
--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -12,7 +12,7 @@
 from wigeonhitch.platform import advice, fleet, http, node, rows, workers
 from wigeonhitch.pool import belief, caller, surroundings
 from wigeonhitch.pool import task as pool_task
-from wigeonhitch.site import catalogue, closings, contact, desk, directory, layout
+from wigeonhitch.site import catalogue, closings, contact, directory, handler, layout
 from wigeonhitch.telemetry import log, metric
 
 __all__ = ["Daemon"]
@@ -73,7 +73,7 @@
             self._on_lost,
             self._get_granted,
         )
-        self.desk = desk.Desk(
+        self.handler = handler.RequestHandler(
             store,
             lambda: self._follower.catalogue,
             instruments,
--- a/wigeonhitch/site/directory.py
+++ b/wigeonhitch/site/directory.py
@@ -66,7 +66,7 @@
             entries.WORKER_TABLE,
             self._read_all,
             self._take_all,
-            feed.Times(WAIT, WAIT + SLACK, RETRY, PAUSE),
+            feed.FollowTiming(WAIT, WAIT + SLACK, RETRY, PAUSE),
             self._is_wanted,
         )
 
--- a/wigeonhitch/site/desk.py
+++ b/wigeonhitch/site/handler.py
@@ -15,11 +15,11 @@
 from wigeonhitch.site import acceptance, jobrows, message, waiting
 from wigeonhitch.telemetry import log, metric
 
-__all__ = ["Desk"]
+__all__ = ["RequestHandler"]
 
 
-class Desk:
-    """Answers callers' requests on jobs; implements `message.Desk`.
+class RequestHandler:
+    """Answers callers' requests on jobs; implements `message.RequestHandler`.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
         self._acceptance = acceptance.Acceptance(store, is_store_lost)
 
     @property
-    def body_limit(self) -> int:
+    def max_body_bytes(self) -> int:
         """Most bytes of a request's body."""
         catalogue = self._get_catalogue()
         return catalogue.body_limit if catalogue else 0
--- a/wigeonhitch/site/main.py
+++ b/wigeonhitch/site/main.py
@@ -62,7 +62,9 @@
 
 async def _serve(settings: node.NodeSettings, one: daemon.Daemon) -> None:
     closed = anyio.Event()
-    callers = ingress.Ingress(one.desk, lambda: one.is_ready, lambda: not one.is_ready)
+    callers = ingress.Ingress(
+        one.handler, lambda: one.is_ready, lambda: not one.is_ready
+    )
     application = exposition.Exposition(callers, one.instruments, METRICS_PORT)
     metrics = f"{settings.ip}:{METRICS_PORT}"
     addresses = [settings.callers, settings.ready, metrics]
--- a/wigeonhitch/site/message.py
+++ b/wigeonhitch/site/message.py
@@ -5,7 +5,7 @@
 
 from wigeonhitch.jobs import model
 
-__all__ = ["Answer", "Desk", "Verdict", "refuse"]
+__all__ = ["Answer", "RequestHandler", "Verdict", "refuse"]
 
 RETRY_AFTER = 1.0
 """Seconds after which a refused caller is told to come back, the least that
@@ -41,11 +41,11 @@
     return Answer(Verdict.NOT_RUN, retry_after=RETRY_AFTER, reason=reason)
 
 
-class Desk(Protocol):
+class RequestHandler(Protocol):
     """Answers callers' requests."""
 
     @property
-    def body_limit(self) -> int:
+    def max_body_bytes(self) -> int:
         """Most bytes of a request's body."""
         ...
 
--- a/wigeonhitch/site/tests/conftest.py
+++ b/wigeonhitch/site/tests/conftest.py
@@ -217,16 +217,16 @@
 
     @staticmethod
     async def submit(one, id):
-        queue = one.desk.find_queue("h", "/q/j")
-        answer = await one.desk.submit(queue, model.Job(id, "q", "", STEPS))
+        queue = one.handler.find_queue("h", "/q/j")
+        answer = await one.handler.submit(queue, model.Job(id, "q", "", STEPS))
         assert answer.verdict is message.Verdict.ACCEPTED
 
     @staticmethod
     async def wait_until(one, ids, state=model.JobState.COMPLETED):
-        queue = one.desk.find_queue("h", "/q/j")
+        queue = one.handler.find_queue("h", "/q/j")
         with anyio.fail_after(20):
             for id in ids:
-                while (await one.desk.show(queue, id)).state is not state:
+                while (await one.handler.show(queue, id)).state is not state:
                     await anyio.sleep(0.05)
 
     def count_starts(self):
--- a/wigeonhitch/site/tests/history.py
+++ b/wigeonhitch/site/tests/history.py
@@ -1,8 +1,9 @@
 """Histories of jobs that are submitted, shown and cancelled while their queue moves.
 
-Plays the real desks of several daemons on simulated time: a queue moves among pools,
-daemons follow late and restart with the newest configuration or the one before, calls
-are lost, slow or carried out seconds late, and final jobs are tidied away.
+Plays the real request handlers of several daemons on simulated time: a queue moves
+among pools, daemons follow late and restart with the newest configuration or the one
+before, calls are lost, slow or carried out seconds late, and final jobs are tidied
+away.
 """
 
 import contextlib
@@ -18,7 +19,7 @@
 from wigeonhitch.platform import http, rows, table
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.pool import tidy
-from wigeonhitch.site import acceptance, catalogue, desk, jobrows, message
+from wigeonhitch.site import acceptance, catalogue, handler, jobrows, message
 from wigeonhitch.telemetry import log, metric
 
 DAEMONS = 4
@@ -69,7 +70,7 @@
         self.follower = catalogue.Follower(simulated.Port(), lambda: None)
         for one in newest:
             self.follower._take_catalogue(one)
-        self.desk = desk.Desk(
+        self.handler = handler.RequestHandler(
             simulated.Port(),
             lambda: self.follower.catalogue,
             metric.Instruments(),
@@ -116,7 +117,7 @@
                 stack.enter_context(mock.patch.object(where, name, value))
 
             put(acceptance, "anyio", self)
-            put(desk, "anyio", self)
+            put(handler, "anyio", self)
             put(http, "read_clock", lambda: self.read_clock(self._current))
             put(log, "log_change", lambda *given, **named: None)
             if self.off:
@@ -151,12 +152,12 @@
         job.tries += 1
         answered = []
         self.later(3.0, lambda: None if answered else self._retry(job))
-        queue = life.desk.find_queue("h", f"/q/{job.id}")
+        queue = life.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             verdict = queue.verdict
         else:
             given = model.Job(job.id, queue.name, "", STEPS)
-            verdict = (await life.desk.submit(queue, given)).verdict
+            verdict = (await life.handler.submit(queue, given)).verdict
         answered.append(verdict)
         job.verdicts.append(verdict)
         if verdict is message.Verdict.ACCEPTED:
@@ -178,10 +179,10 @@
 
     async def _show(self, life: Life, job: Job) -> None:
         accepted, before = job.is_accepted, job.shown
-        queue = life.desk.find_queue("h", f"/q/{job.id}")
+        queue = life.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             return
-        answer = await life.desk.show(queue, job.id)
+        answer = await life.handler.show(queue, job.id)
         if answer.verdict is message.Verdict.MISSING and accepted:
             self._tell(f"{job.id} was accepted and is missing")
         if answer.state is None:
@@ -193,11 +194,11 @@
         job.shown = answer.state
 
     async def _cancel(self, life: Life, job: Job) -> None:
-        queue = life.desk.find_queue("h", f"/q/{job.id}")
+        queue = life.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             return
         job.is_cancelled = True
-        answer = await life.desk.cancel(queue, job.id)
+        answer = await life.handler.cancel(queue, job.id)
         if answer.verdict is message.Verdict.MISSING:
             self._tell(f"{job.id} was accepted and can't be cancelled")
 
@@ -362,7 +363,7 @@
 
 def switch_off(mechanism: str, put: Any) -> None:
     """Take one mechanism out."""
-    plan, find = acceptance._plan_rows, desk.Desk._find
+    plan, find = acceptance._build_transaction, handler.RequestHandler._find
     remove = tidy.Tidier._remove
 
     def plan_unconditionally(*given: Any) -> rows.Transaction:
@@ -382,8 +383,8 @@
         return work._replace(transaction=kept)
 
     if mechanism == "condition":
-        put(acceptance, "_plan_rows", plan_unconditionally)
+        put(acceptance, "_build_transaction", plan_unconditionally)
     elif mechanism == "holder":
-        put(desk.Desk, "_find", find_in_pool)
+        put(handler.RequestHandler, "_find", find_in_pool)
     elif mechanism == "removal":
         put(tidy.Tidier, "_remove", remove_own_row)
--- a/wigeonhitch/site/tests/test_daemon.py
+++ b/wigeonhitch/site/tests/test_daemon.py
@@ -86,7 +86,7 @@
         monkeypatch.setattr(pool_record, "JOB_PARTS", pool_record.JOB_PARTS - 1)
         other = site.start("b")
         await anyio.sleep(1.5)
-        answer = other.desk.find_queue("h", "/q/j0")
+        answer = other.handler.find_queue("h", "/q/j0")
 
         assert isinstance(answer, message.Answer)
         assert answer.verdict is message.Verdict.NOT_RUN
@@ -113,7 +113,7 @@
         site.store.is_down = True
         await anyio.sleep(1.8)
         assert not one.is_ready
-        assert isinstance(one.desk.find_queue("h", "/q/j"), message.Answer)
+        assert isinstance(one.handler.find_queue("h", "/q/j"), message.Answer)
         site.store.is_down = False
         await site.wait_for(lambda: one.is_ready)
         await site.wait_until(one, ["j0"])
--- a/wigeonhitch/site/tests/test_story.py
+++ b/wigeonhitch/site/tests/test_story.py
@@ -42,7 +42,7 @@
     async with site.run("a") as (one,):
         site.store.is_down = True
         await site.wait_for(lambda: not one.is_ready)
-        assert isinstance(one.desk.find_queue("h", "/q/j7"), message.Answer)
+        assert isinstance(one.handler.find_queue("h", "/q/j7"), message.Answer)
 
     (line,) = explain(output, "j7")
     assert (line.change, line.fields["reason"]) == ("request refused", "store lost")
