--- a/benchmarks/demand.py
+++ b/benchmarks/demand.py
@@ -60,9 +60,9 @@
         }
         changes: dict[str, int] = {}
         if way == "plain":
-            changes = demand.decide_plain(loads, limits)
+            changes = demand.decide_by_threshold(loads, limits)
         elif way == "sustained":
-            changes, trends = demand.decide_sustained(loads, trends, limits, now)
+            changes, trends = demand.decide_with_hysteresis(loads, trends, limits, now)
         for name, change in changes.items():
             if change < 0:
                 sizes[name] -= 1
@@ -78,9 +78,15 @@
     for noise in (0.03, 0.1):
         traces = [build_trace(seed, noise) for seed in range(SEEDS)]
         ways = [("none", "none", demand.Limits()), ("plain", "plain", demand.Limits())]
-        for up_for, down_for in ((30.0, 300.0), (60.0, 600.0), (180.0, 900.0)):
-            label = f"sustained {up_for:.0f}/{down_for:.0f} s"
-            limits = demand.Limits(up_for=up_for, down_for=down_for)
+        for scale_up_delay, scale_down_delay in (
+            (30.0, 300.0),
+            (60.0, 600.0),
+            (180.0, 900.0),
+        ):
+            label = f"sustained {scale_up_delay:.0f}/{scale_down_delay:.0f} s"
+            limits = demand.Limits(
+                scale_up_delay=scale_up_delay, scale_down_delay=scale_down_delay
+            )
             ways.append((label, "sustained", limits))
         for label, way, limits in ways:
             runs = [run(trace, way, limits) for trace in traces]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -34,7 +34,7 @@
 RESTART = 120.0
 INTERVAL = 2.0
 LIMITS = wave.Limits(stop_estimate=300.0, return_within=900.0)
-Picker = Callable[[wave.Scene], batch.Picks]
+Picker = Callable[[wave.Snapshot], batch.Picks]
 
 
 class Layout(NamedTuple):
@@ -142,13 +142,13 @@
         """Put an event on the queue."""
         heapq.heappush(self.events, (moment, next(self.order), kind, vm))
 
-    def make_scene(self) -> wave.Scene:
+    def make_scene(self) -> wave.Snapshot:
         """Return what the decisions see now."""
         healthy = frozenset(self.machines) - self.sick
         seen = state.Observation(self.now, self.machines, self.now, healthy)
         busy = frozenset(self.busy)
         daemon = confirmation.DaemonRow("d", "v0000", math.inf, 10**9, busy, 1, {})
-        return wave.Scene(
+        return wave.Snapshot(
             self.view, self.accepted, seen, (daemon,), 10**9, limits=LIMITS
         )
 
@@ -157,7 +157,7 @@
         scene = self.make_scene()
         begin = time.process_time()
         steps = wave.advance(scene)[0]
-        steps += move.release(scene, self.missing) + move.place(scene)
+        steps += move.release(scene, self.missing) + move.assign_vms(scene)
         self.apply(steps)
         count = len(steps)
         for pick in (move.pick_moves, self.pick):
@@ -171,7 +171,7 @@
         if count:
             self.plan(self.now + INTERVAL, "tick", "")
 
-    def check(self, scene: wave.Scene, picked: Sequence[change.Change]) -> None:
+    def check(self, scene: wave.Snapshot, picked: Sequence[change.Change]) -> None:
         """Check that planned stops leave every pool its required VMs."""
         pools = {pool.name: pool for pool in self.accepted.pools}
         taken = {item.row.vm for item in picked}
@@ -224,7 +224,7 @@
             del self.machines[victim]
             self.losses += 1
             self.missing[victim] = self.now
-            self.plan(self.now + move.GONE_AFTER, "tick", victim)
+            self.plan(self.now + move.RELEASE_AFTER_SECONDS, "tick", victim)
             self.plan(self.now + REPLACED_AFTER, "replace", f"{victim}n")
         elif kind == "replace":
             self.add(vm, self.rng.randrange(self.layout.vms))
@@ -251,7 +251,7 @@
         return Result(rollout, bound, self.moves, borrowed, self.losses, self.is_done)
 
 
-def pick_batch(scene: wave.Scene) -> batch.Picks:
+def pick_batch(scene: wave.Snapshot) -> batch.Picks:
     """Return the next fixed batch of each wave: the baseline of measurements.
 
     One VM of each pool at a time, and none before the whole batch is back.
@@ -261,7 +261,7 @@
         for row in scene.view.vms.values()
         if row.wave and row.state not in (state.VmState.UP, state.VmState.DOWN)
     }
-    picks = batch.pick_takes(scene)
+    picks = batch.pick_stops(scene)
     pools: set[tuple[str, str]] = set()
     changes = []
     for item in picks.changes:
@@ -285,7 +285,7 @@
     head = "layout", "picker", "day", "VMs", "buffer", "bound", "roll-out"
     print(f"\n{name}: {seeds} seeds; roll-out and bound in minutes (mean)")
     print_row((*head, "bound", "mean", "worst", "moves", "bound"), widths)
-    pickers = {"fixed": pick_batch, "largest": batch.pick_takes}
+    pickers = {"fixed": pick_batch, "largest": batch.pick_stops}
     days = {"ordinary": {}, "14 and 86": {"failures": 14.0, "restarts": 86.0}}
     for layout, (day, rates) in itertools.product(layouts, days.items()):
         for label, pick in pickers.items():
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -28,7 +28,7 @@
     for pools in (32, 64, 128):
         layout = fleet.Layout("", (5,) * (pools * 3 // 4) + (6,) * (pools // 4), 1, 0)
         tracemalloc.start()
-        loop = fleet.Loop(layout, batch.pick_takes, 1)
+        loop = fleet.Loop(layout, batch.pick_stops, 1)
         used = tracemalloc.get_traced_memory()[0] / 1024
         tracemalloc.stop()
         loop.spent, loop.rounds = 0.0, 0
@@ -45,7 +45,7 @@
     fleet.print_row(("waves", "ms/round"), (6, 9))
     layout = fleet.Layout("", (5,) * 96 + (6,) * 32, 1, 0)
     for count in (1, 32, 128):
-        loop = fleet.Loop(layout, batch.pick_takes, 1)
+        loop = fleet.Loop(layout, batch.pick_stops, 1)
         names = [pool.name for pool in loop.accepted.pools]
         each = len(names) // count
         first = loop.accepted.waves[0]
@@ -61,11 +61,11 @@
         scene = loop.make_scene()
         begin = time.process_time()
         for _ in range(ROUNDS):
-            observer.list_watched(scene)
+            observer.list_vms_to_check(scene)
             wave.advance(scene)
-            move.place(scene)
+            move.assign_vms(scene)
             move.pick_moves(scene)
-            batch.pick_takes(scene)
+            batch.pick_stops(scene)
             batch.list_finished(scene)
         spent = (time.process_time() - begin) / ROUNDS * 1e3
         fleet.print_row((count, f"{spent:.1f}"), (6, 9))
@@ -97,7 +97,7 @@
     fleet.print_row(("VMs", "round", "reads", "commits", "ms"), widths)
     for pools in (32, 64, 128):
         layout = fleet.Layout("", (5,) * (pools * 3 // 4) + (6,) * (pools // 4), 1, 0)
-        loop = fleet.Loop(layout, batch.pick_takes, 1)
+        loop = fleet.Loop(layout, batch.pick_stops, 1)
         fields = [one._asdict() for one in loop.machines.values()]
         for one in fields:
             del one["state"]
@@ -114,10 +114,10 @@
         made = runner.Runner(
             observer.Observer(calls), Holder(), lambda made=loop: made.accepted
         )
-        for _ in range(layout.vms // move.PLACED_PER_ROUND + 2):
+        for _ in range(layout.vms // move.MAX_ASSIGNMENTS_PER_ROUND + 2):
             await made.step()
         rows = [("nothing changed", await run_round(made, platform))]
-        platform.now += observer.LIST_INTERVAL
+        platform.now += observer.MAX_LIST_INTERVAL_SECONDS
         rows.append(("with the VM list", await run_round(made, platform)))
         small = loop.accepted.waves[0]._replace(pools=("p000",))
         loop.accepted = loop.accepted._replace(waves=(small,))
--- a/wigeonhitch/daemon/assembly.py
+++ b/wigeonhitch/daemon/assembly.py
@@ -170,12 +170,13 @@
         )
         silence = settings.drains
         self.fleet = runner.Runner(
-            observer.Observer(platform, silence=silence),
+            observer.Observer(platform, confirmation_limits=silence),
             self.holder,
             lambda: self.document,
         )
         self.fleet_routes = fleet_routes.build_routes(
-            observer.Observer(platform, silence=silence), lambda: self.document
+            observer.Observer(platform, confirmation_limits=silence),
+            lambda: self.document,
         )
         self.placement = placement_runner.Runner(
             placement_message.Platform(
--- a/wigeonhitch/fleet/batch.py
+++ b/wigeonhitch/fleet/batch.py
@@ -6,7 +6,7 @@
 from wigeonhitch.configuration import document
 from wigeonhitch.fleet import budget, change, state, wave
 
-__all__ = ["Picks", "list_finished", "list_pending", "pick_takes"]
+__all__ = ["Picks", "list_finished", "list_pending", "pick_stops"]
 
 VmState = state.VmState
 Step = change.Step
@@ -24,7 +24,7 @@
 
 
 def list_pending(
-    scene: wave.Scene, item: document.Wave, groups: Groups
+    scene: wave.Snapshot, item: document.Wave, groups: Groups
 ) -> list[state.VmRow]:
     """Return the VMs that a wave has still to stop, in order of failure domain.
 
@@ -50,8 +50,8 @@
     return sorted(rows, key=order)
 
 
-def pick_takes(
-    scene: wave.Scene, waves: Iterable[document.Wave] | None = None
+def pick_stops(
+    scene: wave.Snapshot, waves: Iterable[document.Wave] | None = None
 ) -> Picks:
     """Return the stops that running waves may begin now.
 
@@ -84,7 +84,7 @@
     return Picks(tuple(changes.values()), waiting)
 
 
-def list_finished(scene: wave.Scene) -> list[document.Wave]:
+def list_finished(scene: wave.Snapshot) -> list[document.Wave]:
     """Return the running waves with nothing left to stop or to wait for."""
     active = (VmState.DRAINING, VmState.REBOOTING, VmState.CHECKING)
     waited = {row.wave for row in scene.view.vms.values() if row.state in active}
--- a/wigeonhitch/fleet/demand.py
+++ b/wigeonhitch/fleet/demand.py
@@ -1,7 +1,7 @@
 """Demand: the sizes that pools should have when load shifts between them.
 
-Two ways stand side by side. `decide_plain` follows the load at once.
-`decide_sustained` asks for more only after the load has stayed above an upper
+Two ways stand side by side. `decide_by_threshold` follows the load at once.
+`decide_with_hysteresis` asks for more only after the load has stayed above an upper
 threshold for some time, and gives back only after it has stayed below a lower
 one for longer; this is the idea of "Adaptive Tasklist Scaler" (Zijian Chen,
 Uber). `docs/design/planner.md` compares them on the same load trace.
@@ -13,7 +13,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-__all__ = ["Limits", "Load", "Trend", "decide_plain", "decide_sustained"]
+__all__ = ["Limits", "Load", "Trend", "decide_by_threshold", "decide_with_hysteresis"]
 
 
 class Limits(NamedTuple):
@@ -27,15 +27,15 @@
     lower_factor : float
         A pool gives a VM only if its share without that VM would stay below
         ``upper`` times this factor, so that giving cannot cause asking.
-    up_for, down_for : float
+    scale_up_delay, scale_down_delay : float
         How long the load must stay beyond the threshold. Down takes longer:
         a missing VM harms callers, a spare one costs only money.
     """
 
     upper: float = 0.75
     lower_factor: float = 0.8
-    up_for: float = 30.0
-    down_for: float = 300.0
+    scale_up_delay: float = 30.0
+    scale_down_delay: float = 300.0
 
 
 class Load(NamedTuple):
@@ -82,7 +82,7 @@
     return load.busy / max(load.slots * load.vms, 1)
 
 
-def decide_plain(loads: Mapping[str, Load], limits: Limits) -> dict[str, int]:
+def decide_by_threshold(loads: Mapping[str, Load], limits: Limits) -> dict[str, int]:
     """Return by how many VMs pools should grow or shrink, following at once.
 
     The baseline: one threshold both ways, no memory.
@@ -107,7 +107,7 @@
     )
 
 
-def decide_sustained(
+def decide_with_hysteresis(
     loads: Mapping[str, Load],
     trends: Mapping[str, Trend],
     limits: Limits,
@@ -116,9 +116,9 @@
     """Return size changes, and the trends to pass in at the next look.
 
     Made for loads that flicker around a threshold and for short bursts: a
-    move costs a drain and a warm-up, so a burst shorter than ``up_for`` is
+    move costs a drain and a warm-up, so a burst shorter than ``scale_up_delay`` is
     left to the queue. A VM is taken only from a pool that has been below the
-    lower threshold for ``down_for``, or, when none has, from one that is below
+    lower threshold for ``scale_down_delay``, or, when none has, from one that is below
     it now: a sustained need outweighs the caution about giving.
     """
     followed = {
@@ -128,10 +128,10 @@
     needs = []
     gives = []
     for name, trend in followed.items():
-        if trend.above is not None and now - trend.above >= limits.up_for:
+        if trend.above is not None and now - trend.above >= limits.scale_up_delay:
             needs.append((share(loads[name]), name))
         if trend.below is not None:
-            is_settled = now - trend.below >= limits.down_for
+            is_settled = now - trend.below >= limits.scale_down_delay
             # Settled pools sort first: their share is below that of others.
             gives.append((share(loads[name]) - float(is_settled), name))
     changes = match(needs, gives)
--- a/wigeonhitch/fleet/move.py
+++ b/wigeonhitch/fleet/move.py
@@ -18,7 +18,14 @@
 from wigeonhitch.fleet import batch, budget, change, state, wave
 from wigeonhitch.platform import machines
 
-__all__ = ["GONE_AFTER", "Imbalance", "find_lent", "measure", "pick_moves", "place"]
+__all__ = [
+    "RELEASE_AFTER_SECONDS",
+    "Imbalance",
+    "assign_vms",
+    "find_lent",
+    "measure",
+    "pick_moves",
+]
 __all__ += ["release"]
 
 VmState = state.VmState
@@ -27,10 +34,10 @@
 # Seconds for which a VM must be missing from the platform's list before its
 # pool stops counting on it. Longer than a reboot, so that a VM which is only
 # restarting keeps its pool, and much longer than the lag of the list.
-GONE_AFTER = 900.0
+RELEASE_AFTER_SECONDS = 900.0
 
 # VMs assigned in one round; each costs a look at every free VM.
-PLACED_PER_ROUND = 100
+MAX_ASSIGNMENTS_PER_ROUND = 100
 
 
 class Imbalance(NamedTuple):
@@ -59,7 +66,7 @@
     )
 
 
-def find_lent(scene: wave.Scene) -> dict[str, int]:
+def find_lent(scene: wave.Snapshot) -> dict[str, int]:
     """Return the intended size of each pool, with what the buffers lend.
 
     A buffer is a pool that must keep none up. It lends first to pools that
@@ -98,7 +105,7 @@
     return sizes
 
 
-def list_borrowers(scene: wave.Scene) -> list[str]:
+def list_borrowers(scene: wave.Snapshot) -> list[str]:
     """Return the pools without a spare that a running wave has VMs left of."""
     pools = {pool.name: pool for pool in scene.document.pools}
     found: list[str] = []
@@ -120,11 +127,11 @@
     return found
 
 
-def place(scene: wave.Scene) -> list[change.Change]:
+def assign_vms(scene: wave.Snapshot) -> list[change.Change]:
     """Assign VMs of the list that no pool has, spread over failure domains.
 
     The pool with the largest deficit chooses first, and takes a VM from the
-    failure domain in which it has fewest. At most `PLACED_PER_ROUND` VMs are
+    failure domain in which it has fewest. At most `MAX_ASSIGNMENTS_PER_ROUND` VMs are
     assigned at once, so that a whole new fleet does not hold up the round.
     """
     pools = {pool.name: pool for pool in scene.document.pools}
@@ -138,7 +145,7 @@
         if name not in scene.view.vms
     ]
     changes: list[change.Change] = []
-    while gaps and free and len(changes) < PLACED_PER_ROUND:
+    while gaps and free and len(changes) < MAX_ASSIGNMENTS_PER_ROUND:
         name = max(sorted(gaps), key=lambda name: gaps[name])
         machine = choose_free(pools[name], free, spread[name])
         gaps[name] -= 1
@@ -168,7 +175,7 @@
     )
 
 
-def count_domains(scene: wave.Scene) -> dict[str, dict[str, int]]:
+def count_domains(scene: wave.Snapshot) -> dict[str, dict[str, int]]:
     """Return per pool how many of its VMs lie in each failure domain."""
     counts: dict[str, dict[str, int]] = {}
     tells = {}
@@ -183,12 +190,12 @@
     return counts
 
 
-def release(scene: wave.Scene, missing: Mapping[str, float]) -> list[change.Change]:
-    """Release VMs that the platform has not listed for `GONE_AFTER` seconds.
+def release(scene: wave.Snapshot, missing: Mapping[str, float]) -> list[change.Change]:
+    """Release VMs that the platform has not listed for `RELEASE_AFTER_SECONDS` seconds.
 
     Parameters
     ----------
-    scene : Scene
+    scene : Snapshot
         What the decision is made from.
     missing : mapping of str to float
         Since when (``as_of``) each unlisted VM has been missing.
@@ -196,14 +203,14 @@
     changes = []
     for vm, since in sorted(missing.items()):
         row = scene.view.vms.get(vm)
-        is_gone = scene.observation.as_of - since >= GONE_AFTER
+        is_gone = scene.observation.as_of - since >= RELEASE_AFTER_SECONDS
         if row and is_gone and vm not in scene.observation.machines:
             gone = row._replace(since=scene.observation.now)
             changes.append(change.Change(Step.RELEASE, gone, "gone from the list"))
     return changes
 
 
-def pick_moves(scene: wave.Scene) -> batch.Picks:
+def pick_moves(scene: wave.Snapshot) -> batch.Picks:
     """Return the moves that may begin now: take budget of the donor, drain.
 
     Donors with the largest surplus give first; of its VMs a donor gives one
@@ -238,7 +245,7 @@
 
 
 def choose_donor(
-    scene: wave.Scene,
+    scene: wave.Snapshot,
     receiver: str,
     surpluses: Mapping[str, int],
     spread: Mapping[str, Mapping[str, int]],
--- a/wigeonhitch/fleet/observer.py
+++ b/wigeonhitch/fleet/observer.py
@@ -1,7 +1,7 @@
 """Reading the fleet: table rows, VM list and health checks, made into a scene.
 
 An idle round costs one table read (the signal row), whatever the size of the
-fleet, and one VM list every `LIST_INTERVAL` seconds. A round after a
+fleet, and one VM list every `MAX_LIST_INTERVAL_SECONDS` seconds. A round after a
 change adds one scan per prefix, which returns only rows that changed; a round
 during a drain adds one scan of the daemons' rows. Health checks go to the
 workers of pools that something is about to happen to, and to no others.
@@ -18,7 +18,7 @@
 from wigeonhitch.membership import confirmation
 from wigeonhitch.platform import machines, table
 
-__all__ = ["HealthCheck", "Observer", "Platform", "list_watched"]
+__all__ = ["HealthCheck", "Observer", "Platform", "list_vms_to_check"]
 
 # Health checks in flight at once; bounds sockets and the burst on the network.
 PARALLEL_CHECKS = 64
@@ -31,7 +31,7 @@
 # some 130 bytes a VM, but it alone shows that a VM is leaving, which must get no
 # new work within seconds; other daemons read it more seldom and rely on the
 # rows. Of a lost VM the health check tells earlier.
-LIST_INTERVAL = 5.0
+MAX_LIST_INTERVAL_SECONDS = 5.0
 # The same in a small fleet, where the list is small: seconds at least, and
 # seconds per VM, some 5 KB/s. A stop ends when the list shows the VM's new boot
 # number, so the wait for the list is part of every roll-out.
@@ -86,11 +86,11 @@
         self,
         platform: Platform,
         limits: wave.Limits = wave.DEFAULT_LIMITS,
-        silence: confirmation.Limits = DEFAULT_SILENCE,
+        confirmation_limits: confirmation.Limits = DEFAULT_SILENCE,
     ) -> None:
         self.platform = platform
         self.limits = limits
-        self.silence = silence
+        self.silence = confirmation_limits
         self.view = state.FleetView()
         self.missing: dict[str, float] = {}
         self.problem = "not read yet"
@@ -167,15 +167,15 @@
         self.missing = {vm: self.missing.get(vm, as_of) for vm in gone}
         return ""
 
-    async def make_scene(self, accepted: document.Document) -> wave.Scene:
+    async def make_scene(self, accepted: document.Document) -> wave.Snapshot:
         """Check the health of the workers that matter and return the scene."""
         scene = self.compose(accepted, frozenset())
-        healthy = await self.check_health(list_watched(scene), scene)
+        healthy = await self.check_health(list_vms_to_check(scene), scene)
         return self.compose(accepted, healthy)
 
     def compose(
         self, accepted: document.Document, healthy: frozenset[str]
-    ) -> wave.Scene:
+    ) -> wave.Snapshot:
         """Return the scene with the given VMs as the healthy ones."""
         observation = state.Observation(
             self._time,
@@ -183,7 +183,7 @@
             self._list.as_of,
             healthy,
         )
-        return wave.Scene(
+        return wave.Snapshot(
             self.view,
             accepted,
             observation,
@@ -195,7 +195,7 @@
         )
 
     async def check_health(
-        self, vms: Iterable[str], scene: wave.Scene
+        self, vms: Iterable[str], scene: wave.Snapshot
     ) -> frozenset[str]:
         """Return which of the VMs pass their health check now."""
         healthy: set[str] = set()
@@ -224,10 +224,10 @@
     (1.0, 2.5, 5.0)
     """
     scaled = max(LIST_INTERVAL_LEAST, LIST_INTERVAL_PER_VM * vms)
-    return min(LIST_INTERVAL, scaled)
+    return min(MAX_LIST_INTERVAL_SECONDS, scaled)
 
 
-def list_watched(scene: wave.Scene) -> list[str]:
+def list_vms_to_check(scene: wave.Snapshot) -> list[str]:
     """Return the VMs whose health the next decisions depend on.
 
     All VMs of pools in which a drain is under way, or in which a stop could
@@ -238,7 +238,7 @@
     view = scene.view
     listed = frozenset(scene.observation.machines)
     hopeful = scene._replace(observation=scene.observation._replace(healthy=listed))
-    begins = (*move.pick_moves(hopeful).changes, *batch.pick_takes(hopeful).changes)
+    begins = (*move.pick_moves(hopeful).changes, *batch.pick_stops(hopeful).changes)
     pools = {item.row.pool for item in begins}
     draining = state.VmState.DRAINING
     pools.update(row.pool for row in view.vms.values() if row.state is draining)
--- a/wigeonhitch/fleet/planner.py
+++ b/wigeonhitch/fleet/planner.py
@@ -171,7 +171,7 @@
     return tuple(sorted(options, key=lambda option: option.score))
 
 
-def plan_pools(scene: wave.Scene, item: document.Wave) -> list[PoolPlan]:
+def plan_pools(scene: wave.Snapshot, item: document.Wave) -> list[PoolPlan]:
     """Return what a wave would do in each of its pools."""
     pools = {pool.name: pool for pool in scene.document.pools}
     pending: dict[str, list[str]] = {name: [] for name in item.pools if name in pools}
@@ -188,12 +188,12 @@
     return plans
 
 
-def plan_wave(scene: wave.Scene, item: document.Wave) -> Plan:
+def plan_wave(scene: wave.Snapshot, item: document.Wave) -> Plan:
     """Return the dry run of a wave from the fleet as it is.
 
     Parameters
     ----------
-    scene : Scene
+    scene : Snapshot
         The fleet; health checks are not needed.
     item : Wave
         The wave, started or not.
@@ -230,7 +230,7 @@
 
 
 def count_lenders(
-    scene: wave.Scene, borrowers: Iterable[PoolPlan]
+    scene: wave.Snapshot, borrowers: Iterable[PoolPlan]
 ) -> tuple[int, list[str]]:
     """Return how many VMs buffer pools can lend, and which pools get none."""
     pools = {pool.name: pool for pool in scene.document.pools}
--- a/wigeonhitch/fleet/routes.py
+++ b/wigeonhitch/fleet/routes.py
@@ -82,7 +82,7 @@
         self._source = source
         self._lock = anyio.Lock()
 
-    async def _look(self) -> wave.Scene | route.Answer:
+    async def _look(self) -> wave.Snapshot | route.Answer:
         """Return the fleet as the table and the VM list show it now."""
         accepted = self._source()
         if accepted is None:
@@ -92,13 +92,13 @@
                 return refuse(503, self._seen.problem)
             return self._seen.compose(accepted, frozenset())
 
-    async def _check(self, scene: wave.Scene, pools: Iterable[str]) -> wave.Scene:
+    async def _check(self, scene: wave.Snapshot, pools: Iterable[str]) -> wave.Snapshot:
         """Return the scene with the health of all VMs that its answer names.
 
         Those are the VMs of some pools, and whatever the runner asks itself.
         """
         vms = {row.vm for name in pools for row in scene.view.members(name)}
-        vms.update(observer.list_watched(scene))
+        vms.update(observer.list_vms_to_check(scene))
         healthy = await self._seen.check_health(vms, scene)
         return scene._replace(observation=scene.observation._replace(healthy=healthy))
 
@@ -218,7 +218,7 @@
     return next((item for item in accepted.waves if item.name == name), None)
 
 
-def describe_vm(scene: wave.Scene, row: state.VmRow) -> dict[str, Any]:
+def describe_vm(scene: wave.Snapshot, row: state.VmRow) -> dict[str, Any]:
     """Return what operators see of a VM."""
     return {
         "vm": row.vm,
@@ -233,7 +233,7 @@
 
 
 def describe_pool(
-    scene: wave.Scene, pool: document.Pool, budgets: dict[str, budget.Budget]
+    scene: wave.Snapshot, pool: document.Pool, budgets: dict[str, budget.Budget]
 ) -> dict[str, Any]:
     """Return size, budget and what is taken of a pool."""
     measured = budgets[pool.name]
@@ -249,7 +249,7 @@
     }
 
 
-def describe_wave(scene: wave.Scene, item: document.Wave) -> dict[str, Any]:
+def describe_wave(scene: wave.Snapshot, item: document.Wave) -> dict[str, Any]:
     """Return status and progress of a wave."""
     rows = [row for row in scene.view.vms.values() if row.pool in item.pools]
     row = scene.view.waves.get(item.name)
@@ -278,7 +278,7 @@
 
 
 def list_waiting(
-    scene: wave.Scene, *, pool: str = "", item: document.Wave | None = None
+    scene: wave.Snapshot, *, pool: str = "", item: document.Wave | None = None
 ) -> list[dict[str, Any]]:
     """Return why stops of a pool or wave wait, and since when.
 
@@ -292,7 +292,7 @@
         if row.pool == pool or (item and row.wave == item.name):
             found.append({"what": f"vm {vm}", "why": why, "since": row.since})
     picks = dict(move.pick_moves(scene).waiting) if pool else {}
-    picks.update(batch.pick_takes(scene, (item,) if item else None).waiting)
+    picks.update(batch.pick_stops(scene, (item,) if item else None).waiting)
     for what, why in sorted(picks.items()):
         name = what.rpartition("/")[2]
         if item is None and pool not in (name, *running_pools(scene, name)):
@@ -301,7 +301,7 @@
     return found
 
 
-def running_pools(scene: wave.Scene, name: str) -> tuple[str, ...]:
+def running_pools(scene: wave.Snapshot, name: str) -> tuple[str, ...]:
     """Return the pools of a wave that is running or paused, else none."""
     item = find_wave(scene.document, name)
     row = scene.view.waves.get(name)
@@ -309,7 +309,7 @@
     return item.pools if item and is_begun else ()
 
 
-def find_since(scene: wave.Scene, what: str) -> float:
+def find_since(scene: wave.Snapshot, what: str) -> float:
     """Return the last change of the wave and the pool named in ``what``."""
     first, _, last = what.partition("/")
     times = [row.since for row in scene.view.members(last)]
--- a/wigeonhitch/fleet/runner.py
+++ b/wigeonhitch/fleet/runner.py
@@ -91,16 +91,16 @@
         scene = await self.seen.make_scene(accepted)
         return await self._carry_out(scene)
 
-    async def _carry_out(self, scene: wave.Scene) -> str:
+    async def _carry_out(self, scene: wave.Snapshot) -> str:
         """Commit every step that the scene allows, each on the newest view."""
         steps = wave.advance(scene)[0]
         if not await self._commit_all(steps):
             return "a step was not committed"
         await self._ask_reboots(scene)
-        others = move.release(scene, self.seen.missing) + move.place(scene)
+        others = move.release(scene, self.seen.missing) + move.assign_vms(scene)
         if not await self._commit_all(others):
             return "a step was not committed"
-        for pick in (move.pick_moves, batch.pick_takes):
+        for pick in (move.pick_moves, batch.pick_stops):
             if not await self._commit_all(pick(scene).changes):
                 return "a step was not committed"
         for item in batch.list_finished(scene):
@@ -143,7 +143,7 @@
         self.seen.view.apply_rows(rows)
         return True
 
-    async def _finish(self, scene: wave.Scene, item: document.Wave) -> bool:
+    async def _finish(self, scene: wave.Snapshot, item: document.Wave) -> bool:
         held = self.leases.current(DUTY)
         if held is None:
             return False
@@ -153,7 +153,7 @@
         transaction = change.build_wave(row, "no VM is left", held.condition)
         return await self._write(transaction, "finish")
 
-    async def _ask_reboots(self, scene: wave.Scene) -> None:
+    async def _ask_reboots(self, scene: wave.Snapshot) -> None:
         now = self.seen.platform.clock()
         for row in wave.find_reboots(scene):
             asked = self._asked.get((row.vm, row.boot))
--- a/wigeonhitch/fleet/tests/test_decisions.py
+++ b/wigeonhitch/fleet/tests/test_decisions.py
@@ -29,7 +29,7 @@
         w.name: state.WaveRow(w.name, state.WaveStatus.RUNNING) for w in waves
     }
     seen = state.Observation(100.0, listed, 100.0, frozenset(listed) - set(sick))
-    return wave.Scene(view, accepted, seen, **fields)
+    return wave.Snapshot(view, accepted, seen, **fields)
 
 
 def build_pool(name, size, required, spread="rack"):
@@ -75,7 +75,7 @@
 def test_stops_of_one_failure_domain_leave_as_much_budget_besides():
     pool = build_pool("a", 12, 8, "data_centre")
     scene = build_scene([pool], build_rows({"a": 12}), waves=(build_wave("a"),))
-    picks = batch.pick_takes(scene).changes
+    picks = batch.pick_stops(scene).changes
     domains = [scene.observation.machines[item.row.vm].data_centre for item in picks]
     # Four spare: after two in d0 two are left, a third there would leave one.
     assert sorted(domains) == ["d0", "d0", "d1", "d2"]
@@ -87,14 +87,14 @@
     scene = build_scene(
         [build_pool("a", 6, 4)], rows, waves=(build_wave("a"),), sick=everything
     )
-    assert not batch.pick_takes(scene).changes
+    assert not batch.pick_stops(scene).changes
 
 
 @pytest.mark.parametrize("end", [50.0, 150.0])
 def test_no_stop_begins_that_cannot_end_in_the_window(end):
     item = build_wave("a", end=end)
     scene = build_scene([build_pool("a", 6, 4)], build_rows({"a": 6}), waves=(item,))
-    assert "closed" in batch.pick_takes(scene).waiting["w"]
+    assert "closed" in batch.pick_stops(scene).waiting["w"]
 
 
 def test_daemon_is_gone_only_by_a_list_newer_than_its_validity():
@@ -171,7 +171,7 @@
 
 def test_unassigned_vms_are_spread_over_failure_domains():
     scene = build_scene([build_pool("a", 3, 2), build_pool("b", 3, 2)], [], count=12)
-    placed = move.place(scene)
+    placed = move.assign_vms(scene)
     for name in "ab":
         racks = [
             scene.observation.machines[item.row.vm].rack
@@ -209,15 +209,15 @@
         [build_pool(name, 3, 2) for name in "abc"], rows, waves=(build_wave("a", "b"),)
     )
     names = [row.vm for row in rows]
-    assert observer.list_watched(scene) == names[:6]
+    assert observer.list_vms_to_check(scene) == names[:6]
     rebooting = rows[0]._replace(state=state.VmState.REBOOTING, boot=0, wave="w")
     scene.view.vms[names[0]] = rebooting
-    assert observer.list_watched(scene) == names[3:6]
+    assert observer.list_vms_to_check(scene) == names[3:6]
     draining = rows[0]._replace(state=state.VmState.DRAINING, wave="w")
     scene.view.vms[names[0]] = draining
-    assert observer.list_watched(scene) == names[:6]
+    assert observer.list_vms_to_check(scene) == names[:6]
     scene.view.vms[names[8]] = rows[8]._replace(state=state.VmState.CHECKING)
-    assert names[8] in observer.list_watched(scene)
+    assert names[8] in observer.list_vms_to_check(scene)
 
 
 @pytest.mark.parametrize("name", ["REBOOTING", "CHECKING", "DOWN"])
--- a/wigeonhitch/fleet/tests/test_demand.py
+++ b/wigeonhitch/fleet/tests/test_demand.py
@@ -1,6 +1,6 @@
 from wigeonhitch.fleet import demand
 
-LIMITS = demand.Limits(up_for=30.0, down_for=300.0)
+LIMITS = demand.Limits(scale_up_delay=30.0, scale_down_delay=300.0)
 
 
 def look(busy, trends, now, vms=6):
@@ -8,7 +8,7 @@
         "a": demand.Load(busy, 8, vms, 2),
         "b": demand.Load(10.0, 8, 6, 2),
     }
-    return demand.decide_sustained(loads, trends, LIMITS, now)
+    return demand.decide_with_hysteresis(loads, trends, LIMITS, now)
 
 
 def test_burst_shorter_than_the_time_moves_nothing():
@@ -39,4 +39,4 @@
         "a": demand.Load(40.0, 8, 6, 2),
         "b": demand.Load(1.0, 8, 2, 2),
     }
-    assert demand.decide_plain(loads, LIMITS) == {}
+    assert demand.decide_by_threshold(loads, LIMITS) == {}
--- a/wigeonhitch/fleet/tests/test_runner.py
+++ b/wigeonhitch/fleet/tests/test_runner.py
@@ -195,7 +195,7 @@
     world.fake.change_fleet(add=new)
     await run_rounds(world, made, 5)
     assert "v008" not in world.vms()
-    world.fake.advance(move.GONE_AFTER)
+    world.fake.advance(move.RELEASE_AFTER_SECONDS)
     await run_rounds(world, made, 3)
     assert "v001" not in world.vms()
     assert world.vms()["v008"].pool == gone.pool
--- a/wigeonhitch/fleet/wave.py
+++ b/wigeonhitch/fleet/wave.py
@@ -33,7 +33,7 @@
 from wigeonhitch.membership import confirmation
 from wigeonhitch.platform import machines
 
-__all__ = ["DEFAULT_LIMITS", "Limits", "Scene", "advance", "find_reboots"]
+__all__ = ["DEFAULT_LIMITS", "Limits", "Snapshot", "advance", "find_reboots"]
 __all__ += ["find_unconfirmed", "set_state", "tell_closed"]
 
 VmState = state.VmState
@@ -64,7 +64,7 @@
 DEFAULT_SILENCE = confirmation.Limits()
 
 
-class Scene(NamedTuple):
+class Snapshot(NamedTuple):
     """All that a decision of the fleet is made from.
 
     Parameters
@@ -114,7 +114,9 @@
         }
 
 
-def tell_closed(scene: Scene, wave: document.Wave | None, margin: float = 0.0) -> str:
+def tell_closed(
+    scene: Snapshot, wave: document.Wave | None, margin: float = 0.0
+) -> str:
     """Return why a wave may not stop VMs now; empty when it may."""
     if wave is None:
         return "wave is not in the accepted document"
@@ -132,13 +134,13 @@
 
 
 def set_state(
-    row: state.VmRow, to: VmState, scene: Scene, **fields: object
+    row: state.VmRow, to: VmState, scene: Snapshot, **fields: object
 ) -> state.VmRow:
     """Return ``row`` in another state from now on."""
     return row._replace(state=to, since=scene.observation.now, **fields)
 
 
-def finish(row: state.VmRow, scene: Scene) -> tuple[str, ...]:
+def finish(row: state.VmRow, scene: Snapshot) -> tuple[str, ...]:
     """Return the waves done with a VM, without those the document dropped."""
     kept = {wave.name for wave in scene.document.waves}
     done = {name for name in row.done if name in kept}
@@ -147,7 +149,7 @@
     return tuple(sorted(done))
 
 
-def advance(scene: Scene) -> tuple[list[change.Change], dict[str, str]]:
+def advance(scene: Snapshot) -> tuple[list[change.Change], dict[str, str]]:
     """Return the next step of every VM under a planned stop, and what waits.
 
     Made for many stops at once while VMs fail: stops that have not begun are
@@ -175,7 +177,7 @@
     return changes, waiting
 
 
-def is_leaving(scene: Scene, row: state.VmRow) -> bool:
+def is_leaving(scene: Snapshot, row: state.VmRow) -> bool:
     """Tell whether a VM must be taken out because the platform removes it.
 
     Its row then says ``down``, so every daemon stops sending to it within
@@ -187,14 +189,14 @@
     return is_used and machine is not None and machine.state is leaving
 
 
-def give_back(row: state.VmRow, scene: Scene, why: str) -> change.Change:
+def give_back(row: state.VmRow, scene: Snapshot, why: str) -> change.Change:
     """Return the change that ends a drain and returns the budget."""
     new = set_state(row, VmState.UP, scene, wave="", target="")
     return change.Change(Step.GIVE_BACK, new, why)
 
 
 def advance_drain(
-    scene: Scene,
+    scene: Snapshot,
     row: state.VmRow,
     waves: Mapping[str, document.Wave],
     budgets: dict[str, budget.Budget],
@@ -223,7 +225,7 @@
 
 
 def find_unconfirmed(
-    scene: Scene, row: state.VmRow
+    scene: Snapshot, row: state.VmRow
 ) -> tuple[confirmation.Waiting, ...]:
     """Return the daemons that may still hold a request on a draining VM.
 
@@ -253,7 +255,7 @@
 
 
 def advance_short(
-    scene: Scene,
+    scene: Snapshot,
     row: state.VmRow,
     pool: budget.Budget,
     budgets: dict[str, budget.Budget],
@@ -269,7 +271,7 @@
     return give_back(row, scene, text), ""
 
 
-def stop_drained(scene: Scene, row: state.VmRow) -> change.Change:
+def stop_drained(scene: Snapshot, row: state.VmRow) -> change.Change:
     """Return the change of a VM that no daemon uses any more."""
     if row.target:
         new = set_state(row, VmState.UP, scene, pool=row.target, target="")
@@ -279,13 +281,15 @@
     return change.Change(Step.REBOOT, new, f"drained at {row.version}, boot {boot}")
 
 
-def lose(scene: Scene, row: state.VmRow, why: str) -> change.Change:
+def lose(scene: Snapshot, row: state.VmRow, why: str) -> change.Change:
     """Return the change that reports a VM as lost; the wave goes on without it."""
     new = set_state(row, VmState.DOWN, scene, target="", done=finish(row, scene))
     return change.Change(Step.LOSE, new, why)
 
 
-def advance_stopped(scene: Scene, row: state.VmRow) -> tuple[change.Change | None, str]:
+def advance_stopped(
+    scene: Snapshot, row: state.VmRow
+) -> tuple[change.Change | None, str]:
     """Decide about a VM that was told to reboot, or is down."""
     seen = scene.observation
     machine = seen.machines.get(row.vm)
@@ -305,7 +309,7 @@
     return None, text
 
 
-def find_reboots(scene: Scene) -> list[state.VmRow]:
+def find_reboots(scene: Snapshot) -> list[state.VmRow]:
     """Return the VMs whose committed reboot shows no effect yet.
 
     Asking again is harmless: the platform reboots only at this boot number.
