--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -251,17 +251,17 @@
         return Result(rollout, bound, self.moves, borrowed, self.losses, self.is_done)
 
 
-def pick_batch(scene: wave.Snapshot) -> batch.Picks:
+def pick_batch(snapshot: wave.Snapshot) -> batch.Picks:
     """Return the next fixed batch of each wave: the baseline of measurements.
 
     One VM of each pool at a time, and none before the whole batch is back.
     """
     active = {
         row.wave
-        for row in scene.view.vms.values()
+        for row in snapshot.view.vms.values()
         if row.wave and row.state not in (state.VmState.UP, state.VmState.DOWN)
     }
-    picks = batch.pick_stops(scene)
+    picks = batch.pick_stops(snapshot)
     pools: set[tuple[str, str]] = set()
     changes = []
     for item in picks.changes:
--- a/standins/demo/without.py
+++ b/standins/demo/without.py
@@ -62,7 +62,7 @@
 
 def skip_confirmation() -> None:
     """Stop a drained VM without waiting for any daemon."""
-    wave.find_unconfirmed = lambda scene, row: ()
+    wave.find_unconfirmed = lambda snapshot, row: ()
 
 
 def ignore_drains() -> None:
--- a/wigeonhitch/fleet/batch.py
+++ b/wigeonhitch/fleet/batch.py
@@ -24,7 +24,7 @@
 
 
 def list_pending(
-    scene: wave.Snapshot, item: document.Wave, groups: Groups
+    snapshot: wave.Snapshot, item: document.Wave, groups: Groups
 ) -> list[state.VmRow]:
     """Return the VMs that a wave has still to stop, in order of failure domain.
 
@@ -32,7 +32,7 @@
     it restarts has harmed one domain only when the operator pauses the wave.
     VMs that do not serve go first: they cost no budget.
     """
-    seen = scene.observation
+    seen = snapshot.observation
     rows = [
         row
         for pool in item.pools
@@ -51,7 +51,7 @@
 
 
 def pick_stops(
-    scene: wave.Snapshot, waves: Iterable[document.Wave] | None = None
+    snapshot: wave.Snapshot, waves: Iterable[document.Wave] | None = None
 ) -> Picks:
     """Return the stops that running waves may begin now.
 
@@ -59,41 +59,43 @@
     budget that the next one sees. Waves of one pool share its budget in the
     order of the document.
     """
-    budgets = scene.measure_budgets()
-    groups = scene.group_rows()
-    pools = {pool.name: pool for pool in scene.document.pools}
+    budgets = snapshot.measure_budgets()
+    groups = snapshot.group_rows()
+    pools = {pool.name: pool for pool in snapshot.document.pools}
     changes: dict[str, change.Change] = {}
     waiting: dict[str, str] = {}
-    for item in scene.document.waves if waves is None else waves:
-        closed = wave.tell_closed(scene, item, scene.limits.stop_estimate)
+    for item in snapshot.document.waves if waves is None else waves:
+        closed = wave.tell_closed(snapshot, item, snapshot.limits.stop_estimate)
         if closed:
             waiting[item.name] = closed
             continue
-        for row in list_pending(scene, item, groups):
+        for row in list_pending(snapshot, item, groups):
             if row.vm in changes or row.pool not in pools:
                 continue
-            domain = budget.tell_domain(pools[row.pool], scene.observation)(row.vm)
-            refusal = budgets[row.pool].check_take(row.vm, domain)
+            domain = budget.make_domain_lookup(pools[row.pool], snapshot.observation)(
+                row.vm
+            )
+            refusal = budgets[row.pool].check_stop(row.vm, domain)
             if refusal.reason:
                 waiting.setdefault(f"{item.name}/{row.pool}", refusal.reason)
                 continue
             budgets[row.pool] = budgets[row.pool].take(row.vm, domain)
-            new = wave.set_state(row, VmState.DRAINING, scene, wave=item.name)
+            new = wave.set_state(row, VmState.DRAINING, snapshot, wave=item.name)
             why = f"wave {item.name}: {item.reason}"
             changes[row.vm] = change.Change(Step.TAKE, new, why)
     return Picks(tuple(changes.values()), waiting)
 
 
-def list_finished(scene: wave.Snapshot) -> list[document.Wave]:
+def list_finished(snapshot: wave.Snapshot) -> list[document.Wave]:
     """Return the running waves with nothing left to stop or to wait for."""
     active = (VmState.DRAINING, VmState.REBOOTING, VmState.CHECKING)
-    waited = {row.wave for row in scene.view.vms.values() if row.state in active}
-    groups = scene.group_rows()
+    waited = {row.wave for row in snapshot.view.vms.values() if row.state in active}
+    groups = snapshot.group_rows()
     finished = []
-    for item in scene.document.waves:
-        row = scene.view.waves.get(item.name)
+    for item in snapshot.document.waves:
+        row = snapshot.view.waves.get(item.name)
         if row is None or row.status is not state.WaveStatus.RUNNING:
             continue
-        if item.name not in waited and not list_pending(scene, item, groups):
+        if item.name not in waited and not list_pending(snapshot, item, groups):
             finished.append(item)
     return finished
--- a/wigeonhitch/fleet/budget.py
+++ b/wigeonhitch/fleet/budget.py
@@ -18,7 +18,7 @@
 from wigeonhitch.configuration import document
 from wigeonhitch.fleet import state
 
-__all__ = ["Budget", "Refusal", "measure_budget", "required", "tell_domain"]
+__all__ = ["Budget", "Refusal", "make_domain_lookup", "measure_budget", "required"]
 
 
 class Refusal(NamedTuple):
@@ -42,7 +42,7 @@
     return math.ceil(round((pool.must_be_up.share or 0.0) * pool.size, 9))
 
 
-def tell_domain(
+def make_domain_lookup(
     pool: document.Pool, observation: state.Observation
 ) -> Callable[[str], str]:
     """Return a function from VM to its failure domain by the pool's spread."""
@@ -65,21 +65,21 @@
         VMs that must be up.
     up : frozenset of str
         VMs that are up now.
-    out : dict of str to int
+    stops_by_domain : dict of str to int
         VMs taken by planned stops, by failure domain.
     """
 
     pool: str
     required: int
     up: frozenset[str]
-    out: dict[str, int]
+    stops_by_domain: dict[str, int]
 
     @property
     def spare(self) -> int:
         """Return how many VMs may be lost now; negative when under budget."""
         return len(self.up) - self.required
 
-    def check_take(self, vm: str, domain: str) -> Refusal:
+    def check_stop(self, vm: str, domain: str) -> Refusal:
         """Decide whether a planned stop may take ``vm`` now.
 
         Made for waves and moves that compete for one pool while VMs fail.
@@ -97,7 +97,7 @@
             return Refusal(f"{text}, {self.required} must be up")
         if not needed:
             return Refusal()
-        there = self.out.get(domain, 0) + 1
+        there = self.stops_by_domain.get(domain, 0) + 1
         if there > max(1, self.spare - 1):
             text = f"failure domain {domain} of pool {self.pool}"
             return Refusal(f"{text} has {there - 1} stops under way")
@@ -105,9 +105,9 @@
 
     def take(self, vm: str, domain: str) -> "Budget":
         """Return the budget after a planned stop has taken ``vm``."""
-        out = dict(self.out)
-        out[domain] = out.get(domain, 0) + 1
-        return self._replace(up=self.up - {vm}, out=out)
+        stops = dict(self.stops_by_domain)
+        stops[domain] = stops.get(domain, 0) + 1
+        return self._replace(up=self.up - {vm}, stops_by_domain=stops)
 
 
 def measure_budget(
@@ -116,13 +116,13 @@
     observation: state.Observation,
 ) -> Budget:
     """Return the budget of a pool from its VM rows and what is up now."""
-    tell = tell_domain(pool, observation)
+    tell = make_domain_lookup(pool, observation)
     up = set()
-    out: dict[str, int] = {}
+    stops: dict[str, int] = {}
     for row in rows:
         if row.state is state.VmState.UP:
             if observation.is_serving(row.vm):
                 up.add(row.vm)
         elif row.state is not state.VmState.DOWN:
-            out[tell(row.vm)] = out.get(tell(row.vm), 0) + 1
-    return Budget(pool.name, required(pool), frozenset(up), out)
+            stops[tell(row.vm)] = stops.get(tell(row.vm), 0) + 1
+    return Budget(pool.name, required(pool), frozenset(up), stops)
--- a/wigeonhitch/fleet/change.py
+++ b/wigeonhitch/fleet/change.py
@@ -53,7 +53,7 @@
     writes: tuple[table.Write, ...]
 
 
-def make_history_key(version: int, name: str) -> str:
+def build_history_key(version: int, name: str) -> str:
     """Return a history key that is unique per replaced row and sorts by time."""
     return f"history/fleet/{version:012d}-{name}"
 
@@ -110,7 +110,7 @@
             table.Write(vm_key, None if is_release else change.row.encode()),
             table.Write(f"pool/{pool.pool}", taken),
             table.Write(state.SIGNAL, {}),
-            table.Write(make_history_key(number, change.row.vm), history),
+            table.Write(build_history_key(number, change.row.vm), history),
         ),
     )
 
@@ -139,6 +139,6 @@
         (
             table.Write(key, row.encode()),
             table.Write(state.SIGNAL, {}),
-            table.Write(make_history_key(row.version, f"wave-{row.wave}"), history),
+            table.Write(build_history_key(row.version, f"wave-{row.wave}"), history),
         ),
     )
--- a/wigeonhitch/fleet/demand.py
+++ b/wigeonhitch/fleet/demand.py
@@ -44,7 +44,7 @@
     busy: float
     slots: int
     vms: int
-    least: int
+    min_vms: int
 
 
 class Trend(NamedTuple):
@@ -62,12 +62,12 @@
 def is_below(load: Load, limits: Limits, factor: float) -> bool:
     """Tell whether a pool could do with one VM less."""
     rest = load.vms - 1
-    return rest >= load.least and load.busy < (
+    return rest >= load.min_vms and load.busy < (
         limits.upper * factor * load.slots * rest
     )
 
 
-def match(needs: list[tuple[float, str]], gives: list[tuple[float, str]]) -> dict:
+def pair_pools(needs: list[tuple[float, str]], gives: list[tuple[float, str]]) -> dict:
     """Return size changes that pair the fullest pools with the emptiest."""
     changes: dict[str, int] = {}
     pairs = zip(sorted(needs, reverse=True), sorted(gives), strict=False)
@@ -77,7 +77,7 @@
     return changes
 
 
-def share(load: Load) -> float:
+def busy_share(load: Load) -> float:
     """Return the busy share of a pool's slots."""
     return load.busy / max(load.slots * load.vms, 1)
 
@@ -87,17 +87,17 @@
 
     The baseline: one threshold both ways, no memory.
     """
-    needs = [(share(load), name) for name, load in loads.items()]
+    needs = [(busy_share(load), name) for name, load in loads.items()]
     needs = [pair for pair in needs if is_above(loads[pair[1]], limits)]
     gives = [
-        (share(load), name)
+        (busy_share(load), name)
         for name, load in loads.items()
         if is_below(load, limits, 1.0)
     ]
-    return match(needs, gives)
+    return pair_pools(needs, gives)
 
 
-def follow(trend: Trend, load: Load, limits: Limits, now: float) -> Trend:
+def update_trend(trend: Trend, load: Load, limits: Limits, now: float) -> Trend:
     """Return the trend of a pool after one more look at its load."""
     above = trend.above if trend.above is not None else now
     below = trend.below if trend.below is not None else now
@@ -122,19 +122,19 @@
     it now: a sustained need outweighs the caution about giving.
     """
     followed = {
-        name: follow(trends.get(name, Trend()), load, limits, now)
+        name: update_trend(trends.get(name, Trend()), load, limits, now)
         for name, load in loads.items()
     }
     needs = []
     gives = []
     for name, trend in followed.items():
         if trend.above is not None and now - trend.above >= limits.scale_up_delay:
-            needs.append((share(loads[name]), name))
+            needs.append((busy_share(loads[name]), name))
         if trend.below is not None:
             is_settled = now - trend.below >= limits.scale_down_delay
             # Settled pools sort first: their share is below that of others.
-            gives.append((share(loads[name]) - float(is_settled), name))
-    changes = match(needs, gives)
+            gives.append((busy_share(loads[name]) - float(is_settled), name))
+    changes = pair_pools(needs, gives)
     for name in changes:
         followed[name] = Trend()
     return changes, followed
--- a/wigeonhitch/fleet/move.py
+++ b/wigeonhitch/fleet/move.py
@@ -22,8 +22,8 @@
     "RELEASE_AFTER_SECONDS",
     "Imbalance",
     "assign_vms",
-    "find_lent",
-    "measure",
+    "compute_intended_sizes",
+    "measure_imbalance",
     "pick_moves",
 ]
 __all__ += ["release"]
@@ -47,12 +47,15 @@
     surpluses: Mapping[str, int]
 
 
-def measure(intended: Mapping[str, int], rows: Iterable[state.VmRow]) -> Imbalance:
+def measure_imbalance(
+    intended: Mapping[str, int], rows: Iterable[state.VmRow]
+) -> Imbalance:
     """Return how far pools are from their intended sizes.
 
     Examples
     --------
-    >>> measure({"a": 1, "b": 1}, [state.VmRow("x", "a"), state.VmRow("y", "a")])
+    >>> rows = [state.VmRow("x", "a"), state.VmRow("y", "a")]
+    >>> measure_imbalance({"a": 1, "b": 1}, rows)
     Imbalance(deficits={'b': 1}, surpluses={'a': 1})
     """
     sizes = dict.fromkeys(intended, 0)
@@ -66,7 +69,7 @@
     )
 
 
-def find_lent(scene: wave.Snapshot) -> dict[str, int]:
+def compute_intended_sizes(snapshot: wave.Snapshot) -> dict[str, int]:
     """Return the intended size of each pool, with what the buffers lend.
 
     A buffer is a pool that must keep none up. It lends first to pools that
@@ -76,7 +79,7 @@
     the buffer in between, which is one move per pool, the lower bound. No
     pool borrows a second VM while another waits for its first.
     """
-    pools = {pool.name: pool for pool in scene.document.pools}
+    pools = {pool.name: pool for pool in snapshot.document.pools}
     sizes = {name: pool.size for name, pool in pools.items()}
     buffers = {
         pool.kind: pool.name
@@ -84,15 +87,15 @@
         if pool.size and not budget.required(pool)
     }
     held = collections.Counter(
-        row.target or row.pool for row in scene.view.vms.values()
+        row.target or row.pool for row in snapshot.view.vms.values()
     )
     for name, pool in pools.items():
         buffer = buffers.get(pool.kind)
         lost = budget.required(pool) - held[name]
         if buffer and lost > 0:
             sizes[buffer] -= min(lost, sizes[buffer])
-    borrowers = list_borrowers(scene)
-    weights = scene.document.weights
+    borrowers = list_borrowers(snapshot)
+    weights = snapshot.document.weights
     # A buffer VM that no other pool waits for shortens the roll-out of the
     # last pools for one more move, so the weights of the document decide.
     if weights.rollout >= weights.moves:
@@ -105,15 +108,15 @@
     return sizes
 
 
-def list_borrowers(scene: wave.Snapshot) -> list[str]:
+def list_borrowers(snapshot: wave.Snapshot) -> list[str]:
     """Return the pools without a spare that a running wave has VMs left of."""
-    pools = {pool.name: pool for pool in scene.document.pools}
+    pools = {pool.name: pool for pool in snapshot.document.pools}
     found: list[str] = []
-    groups = scene.group_rows()
-    for item in scene.document.waves:
-        if wave.tell_closed(scene, item, scene.limits.stop_estimate):
+    groups = snapshot.group_rows()
+    for item in snapshot.document.waves:
+        if wave.tell_closed(snapshot, item, snapshot.limits.stop_estimate):
             continue
-        pending = {row.pool for row in batch.list_pending(scene, item, groups)}
+        pending = {row.pool for row in batch.list_pending(snapshot, item, groups)}
         pending |= {
             pool
             for pool in item.pools
@@ -127,27 +130,31 @@
     return found
 
 
-def assign_vms(scene: wave.Snapshot) -> list[change.Change]:
+def assign_vms(snapshot: wave.Snapshot) -> list[change.Change]:
     """Assign VMs of the list that no pool has, spread over failure domains.
 
     The pool with the largest deficit chooses first, and takes a VM from the
     failure domain in which it has fewest. At most `MAX_ASSIGNMENTS_PER_ROUND` VMs are
     assigned at once, so that a whole new fleet does not hold up the round.
     """
-    pools = {pool.name: pool for pool in scene.document.pools}
-    seen = scene.observation
-    gaps = dict(measure(find_lent(scene), scene.view.vms.values()).deficits)
-    spread = count_domains(scene)
+    pools = {pool.name: pool for pool in snapshot.document.pools}
+    seen = snapshot.observation
+    gaps = dict(
+        measure_imbalance(
+            compute_intended_sizes(snapshot), snapshot.view.vms.values()
+        ).deficits
+    )
+    spread = count_domains(snapshot)
     free = [
         machine
         for name, machine in sorted(seen.machines.items())
         if machine.role == "worker" and seen.is_live(name)
-        if name not in scene.view.vms
+        if name not in snapshot.view.vms
     ]
     changes: list[change.Change] = []
     while gaps and free and len(changes) < MAX_ASSIGNMENTS_PER_ROUND:
         name = max(sorted(gaps), key=lambda name: gaps[name])
-        machine = choose_free(pools[name], free, spread[name])
+        machine = choose_free_vm(pools[name], free, spread[name])
         gaps[name] -= 1
         if machine is None or not gaps[name]:
             del gaps[name]
@@ -161,7 +168,7 @@
     return changes
 
 
-def choose_free(
+def choose_free_vm(
     pool: document.Pool,
     free: Iterable[machines.Machine],
     spread: Mapping[str, int],
@@ -175,14 +182,14 @@
     )
 
 
-def count_domains(scene: wave.Snapshot) -> dict[str, dict[str, int]]:
+def count_domains(snapshot: wave.Snapshot) -> dict[str, dict[str, int]]:
     """Return per pool how many of its VMs lie in each failure domain."""
     counts: dict[str, dict[str, int]] = {}
     tells = {}
-    for pool in scene.document.pools:
+    for pool in snapshot.document.pools:
         counts[pool.name] = {}
-        tells[pool.name] = budget.tell_domain(pool, scene.observation)
-    for row in scene.view.vms.values():
+        tells[pool.name] = budget.make_domain_lookup(pool, snapshot.observation)
+    for row in snapshot.view.vms.values():
         pool = row.target or row.pool
         if pool in counts:
             domain = tells[pool](row.vm)
@@ -190,27 +197,29 @@
     return counts
 
 
-def release(scene: wave.Snapshot, missing: Mapping[str, float]) -> list[change.Change]:
+def release(
+    snapshot: wave.Snapshot, missing: Mapping[str, float]
+) -> list[change.Change]:
     """Release VMs that the platform has not listed for `RELEASE_AFTER_SECONDS` seconds.
 
     Parameters
     ----------
-    scene : Snapshot
+    snapshot : Snapshot
         What the decision is made from.
     missing : mapping of str to float
         Since when (``as_of``) each unlisted VM has been missing.
     """
     changes = []
     for vm, since in sorted(missing.items()):
-        row = scene.view.vms.get(vm)
-        is_gone = scene.observation.as_of - since >= RELEASE_AFTER_SECONDS
-        if row and is_gone and vm not in scene.observation.machines:
-            gone = row._replace(since=scene.observation.now)
+        row = snapshot.view.vms.get(vm)
+        is_gone = snapshot.observation.as_of - since >= RELEASE_AFTER_SECONDS
+        if row and is_gone and vm not in snapshot.observation.machines:
+            gone = row._replace(since=snapshot.observation.now)
             changes.append(change.Change(Step.RELEASE, gone, "gone from the list"))
     return changes
 
 
-def pick_moves(scene: wave.Snapshot) -> batch.Picks:
+def pick_moves(snapshot: wave.Snapshot) -> batch.Picks:
     """Return the moves that may begin now: take budget of the donor, drain.
 
     Donors with the largest surplus give first; of its VMs a donor gives one
@@ -218,26 +227,30 @@
     fewest, so that both become more evenly spread. A donor's budget counts as
     for any planned stop, so a move waits for its donor, never overspends it.
     """
-    pools = {pool.name: pool for pool in scene.document.pools}
-    budgets = scene.measure_budgets()
-    imbalance = measure(find_lent(scene), scene.view.vms.values())
+    pools = {pool.name: pool for pool in snapshot.document.pools}
+    budgets = snapshot.measure_budgets()
+    imbalance = measure_imbalance(
+        compute_intended_sizes(snapshot), snapshot.view.vms.values()
+    )
     deficits, surpluses = dict(imbalance.deficits), dict(imbalance.surpluses)
-    spread = count_domains(scene)
+    spread = count_domains(snapshot)
     changes: list[change.Change] = []
     waiting: dict[str, str] = {}
     taken: set[str] = set()
     for receiver in sorted(deficits, key=lambda name: (-deficits[name], name)):
         for _ in range(deficits[receiver]):
-            best = choose_donor(scene, receiver, surpluses, spread, budgets, taken)
+            best = choose_donor(snapshot, receiver, surpluses, spread, budgets, taken)
             if isinstance(best, budget.Refusal):
                 waiting[f"move/{receiver}"] = best.reason
                 break
             taken.add(best.vm)
             surpluses[best.pool] -= 1
-            domain = budget.tell_domain(pools[receiver], scene.observation)(best.vm)
+            domain = budget.make_domain_lookup(pools[receiver], snapshot.observation)(
+                best.vm
+            )
             spread[receiver][domain] = spread[receiver].get(domain, 0) + 1
             new = best._replace(
-                state=VmState.DRAINING, since=scene.observation.now, target=receiver
+                state=VmState.DRAINING, since=snapshot.observation.now, target=receiver
             )
             why = f"pool {receiver} is below its intended size"
             changes.append(change.Change(Step.TAKE, new, why))
@@ -245,7 +258,7 @@
 
 
 def choose_donor(
-    scene: wave.Snapshot,
+    snapshot: wave.Snapshot,
     receiver: str,
     surpluses: Mapping[str, int],
     spread: Mapping[str, Mapping[str, int]],
@@ -253,23 +266,23 @@
     taken: set[str],
 ) -> state.VmRow | budget.Refusal:
     """Return the VM that should move to ``receiver``, or why none may now."""
-    pools = {pool.name: pool for pool in scene.document.pools}
+    pools = {pool.name: pool for pool in snapshot.document.pools}
     refusal = budget.Refusal("no pool of this kind has a VM to give")
     best: tuple[tuple, state.VmRow, str] | None = None
-    for row in scene.view.vms.values():
+    for row in snapshot.view.vms.values():
         donor = row.pool
         is_free = row.state is VmState.UP and row.vm not in taken
         if not is_free or surpluses.get(donor, 0) < 1:
             continue
-        machine = scene.observation.machines.get(row.vm)
+        machine = snapshot.observation.machines.get(row.vm)
         if machine is None or machine.kind != pools[receiver].kind:
             continue
-        if not scene.observation.is_serving(row.vm):
+        if not snapshot.observation.is_serving(row.vm):
             continue
         domain = ""
         if donor in pools:
             domain = getattr(machine, pools[donor].spread)
-            answer = budgets[donor].check_take(row.vm, domain)
+            answer = budgets[donor].check_stop(row.vm, domain)
             if answer.reason:
                 refusal = answer
                 continue
--- a/wigeonhitch/fleet/observer.py
+++ b/wigeonhitch/fleet/observer.py
@@ -1,4 +1,4 @@
-"""Reading the fleet: table rows, VM list and health checks, made into a scene.
+"""Reading the fleet: table rows, VM list and health checks, made into a snapshot.
 
 An idle round costs one table read (the signal row), whatever the size of the
 fleet, and one VM list every `MAX_LIST_INTERVAL_SECONDS` seconds. A round after a
@@ -21,11 +21,11 @@
 __all__ = ["HealthCheck", "Observer", "Platform", "list_vms_to_check"]
 
 # Health checks in flight at once; bounds sockets and the burst on the network.
-PARALLEL_CHECKS = 64
+MAX_PARALLEL_CHECKS = 64
 # Seconds that a worker has to answer a health check.
-CHECK_TIMEOUT = 2.0
+CHECK_TIMEOUT_SECONDS = 2.0
 # Seconds by which the VM list may lag before no planned stop is begun on it.
-LIST_LAG_LIMIT = 60.0
+MAX_LIST_LAG_SECONDS = 60.0
 
 # Seconds between VM lists. The list is the largest thing that a round reads,
 # some 130 bytes a VM, but it alone shows that a VM is leaving, which must get no
@@ -35,10 +35,10 @@
 # The same in a small fleet, where the list is small: seconds at least, and
 # seconds per VM, some 5 KB/s. A stop ends when the list shows the VM's new boot
 # number, so the wait for the list is part of every roll-out.
-LIST_INTERVAL_LEAST = 1.0
-LIST_INTERVAL_PER_VM = 0.025
+MIN_LIST_INTERVAL_SECONDS = 1.0
+LIST_INTERVAL_SECONDS_PER_VM = 0.025
 
-DEFAULT_SILENCE = confirmation.Limits()
+DEFAULT_CONFIRMATION_LIMITS = confirmation.Limits()
 
 HealthCheck = Callable[[str], Awaitable[bool]]
 
@@ -73,7 +73,7 @@
         Where to read.
     limits : Limits
         Limits of planned stops.
-    silence : confirmation.Limits
+    confirmation_limits : confirmation.Limits
         When a silent daemon can no longer hold a request.
 
     Attributes
@@ -86,15 +86,15 @@
         self,
         platform: Platform,
         limits: wave.Limits = wave.DEFAULT_LIMITS,
-        confirmation_limits: confirmation.Limits = DEFAULT_SILENCE,
+        confirmation_limits: confirmation.Limits = DEFAULT_CONFIRMATION_LIMITS,
     ) -> None:
         self.platform = platform
         self.limits = limits
-        self.silence = confirmation_limits
+        self.confirmation_limits = confirmation_limits
         self.view = state.FleetView()
         self.missing: dict[str, float] = {}
         self.problem = "not read yet"
-        self.seen_at = 0.0
+        self.refreshed_at = 0.0
         self._listed_at = -math.inf
         self._signal = -1
         self._daemons: tuple[confirmation.DaemonRow, ...] = ()
@@ -105,7 +105,7 @@
 
     async def refresh(self) -> bool:
         """Read what changed; return whether all of it could be read."""
-        self.seen_at = self.platform.clock()
+        self.refreshed_at = self.platform.clock()
         self.problem = await self._read_rows() or await self._read_list()
         return not self.problem
 
@@ -159,7 +159,7 @@
             # A list older than one seen before would bring VMs back.
             if answer.as_of >= self._list.as_of:
                 self._list = answer
-        if self._time - self._list.as_of > LIST_LAG_LIMIT:
+        if self._time - self._list.as_of > MAX_LIST_LAG_SECONDS:
             return f"VM list is {self._time - self._list.as_of:.0f} s old"
         listed = {machine.vm for machine in self._list.machines}
         gone = [vm for vm in self.view.vms if vm not in listed]
@@ -167,16 +167,16 @@
         self.missing = {vm: self.missing.get(vm, as_of) for vm in gone}
         return ""
 
-    async def make_scene(self, accepted: document.Document) -> wave.Snapshot:
-        """Check the health of the workers that matter and return the scene."""
-        scene = self.compose(accepted, frozenset())
-        healthy = await self.check_health(list_vms_to_check(scene), scene)
-        return self.compose(accepted, healthy)
+    async def take_snapshot(self, accepted: document.Document) -> wave.Snapshot:
+        """Check the health of the workers that matter and return the snapshot."""
+        snapshot = self.build_snapshot(accepted, frozenset())
+        healthy = await self.check_health(list_vms_to_check(snapshot), snapshot)
+        return self.build_snapshot(accepted, healthy)
 
-    def compose(
+    def build_snapshot(
         self, accepted: document.Document, healthy: frozenset[str]
     ) -> wave.Snapshot:
-        """Return the scene with the given VMs as the healthy ones."""
+        """Return the snapshot with the given VMs as the healthy ones."""
         observation = state.Observation(
             self._time,
             {machine.vm: machine for machine in self._list.machines},
@@ -191,26 +191,26 @@
             self._daemons_revision,
             {vm: at for vm, (_, at) in self._drained.items()},
             self.limits,
-            self.silence,
+            self.confirmation_limits,
         )
 
     async def check_health(
-        self, vms: Iterable[str], scene: wave.Snapshot
+        self, vms: Iterable[str], snapshot: wave.Snapshot
     ) -> frozenset[str]:
         """Return which of the VMs pass their health check now."""
         healthy: set[str] = set()
-        limiter = anyio.CapacityLimiter(PARALLEL_CHECKS)
+        limiter = anyio.CapacityLimiter(MAX_PARALLEL_CHECKS)
 
         async def check(vm: str, address: str) -> None:
             async with limiter:
-                with anyio.move_on_after(CHECK_TIMEOUT):
+                with anyio.move_on_after(CHECK_TIMEOUT_SECONDS):
                     if await self.platform.check_health(address):
                         healthy.add(vm)
 
         async with anyio.create_task_group() as group:
             for vm in vms:
-                if scene.observation.is_live(vm):
-                    machine = scene.observation.machines[vm]
+                if snapshot.observation.is_live(vm):
+                    machine = snapshot.observation.machines[vm]
                     group.start_soon(check, vm, machine.address)
         return frozenset(healthy)
 
@@ -223,11 +223,11 @@
     >>> find_list_interval(30), find_list_interval(100), find_list_interval(800)
     (1.0, 2.5, 5.0)
     """
-    scaled = max(LIST_INTERVAL_LEAST, LIST_INTERVAL_PER_VM * vms)
+    scaled = max(MIN_LIST_INTERVAL_SECONDS, LIST_INTERVAL_SECONDS_PER_VM * vms)
     return min(MAX_LIST_INTERVAL_SECONDS, scaled)
 
 
-def list_vms_to_check(scene: wave.Snapshot) -> list[str]:
+def list_vms_to_check(snapshot: wave.Snapshot) -> list[str]:
     """Return the VMs whose health the next decisions depend on.
 
     All VMs of pools in which a drain is under way, or in which a stop could
@@ -235,9 +235,11 @@
     back. Made for a wave over the whole fleet: while a VM reboots, which is
     most of the time, the others of a pool without more spare are not asked.
     """
-    view = scene.view
-    listed = frozenset(scene.observation.machines)
-    hopeful = scene._replace(observation=scene.observation._replace(healthy=listed))
+    view = snapshot.view
+    listed = frozenset(snapshot.observation.machines)
+    hopeful = snapshot._replace(
+        observation=snapshot.observation._replace(healthy=listed)
+    )
     begins = (*move.pick_moves(hopeful).changes, *batch.pick_stops(hopeful).changes)
     pools = {item.row.pool for item in begins}
     draining = state.VmState.DRAINING
@@ -245,7 +247,7 @@
     return sorted(
         row.vm
         for row in view.vms.values()
-        if row.pool in pools or has_returned(row, scene.observation)
+        if row.pool in pools or has_returned(row, snapshot.observation)
     )
 
 
--- a/wigeonhitch/fleet/planner.py
+++ b/wigeonhitch/fleet/planner.py
@@ -97,7 +97,9 @@
     problems: tuple[str, ...]
 
 
-def weigh(measures: Measures, bounds: Measures, weights: document.Weights) -> float:
+def compute_score(
+    measures: Measures, bounds: Measures, weights: document.Weights
+) -> float:
     """Return the weighted mean of each measure over its lower bound.
 
     One is added to moves and their bound, which may be zero.
@@ -135,7 +137,7 @@
     stop: float,
     drain: float,
     weights: document.Weights,
-    most_shared: int = 8,
+    max_shared: int = 8,
 ) -> tuple[Option, ...]:
     """Return the ways to hold spare VMs of one kind, best score first.
 
@@ -151,61 +153,61 @@
         Seconds of one stop, and of the drain before a move.
     weights : Weights
         Of the document.
-    most_shared : int
+    max_shared : int
         Largest shared buffer to look at.
     """
     lengths = [(demand.required + 1, 1) for demand in demands]
     fastest = bound_rollout(lengths, stop)
     found = [("per pool", Measures(len(demands), fastest, 0))]
     works = sorted((demand.required * stop + drain for demand in demands), reverse=True)
-    for size in range(1, min(most_shared, len(demands)) + 1):
+    for size in range(1, min(max_shared, len(demands)) + 1):
         lanes = [stop] * size
         for work in works:
             lanes[lanes.index(min(lanes))] += work
         found.append((f"shared {size}", Measures(size, max(lanes), len(demands))))
     bounds = Measures(1, fastest, 0)
     options = [
-        Option(name, measures, bounds, weigh(measures, bounds, weights))
+        Option(name, measures, bounds, compute_score(measures, bounds, weights))
         for name, measures in found
     ]
     return tuple(sorted(options, key=lambda option: option.score))
 
 
-def plan_pools(scene: wave.Snapshot, item: document.Wave) -> list[PoolPlan]:
+def plan_pools(snapshot: wave.Snapshot, item: document.Wave) -> list[PoolPlan]:
     """Return what a wave would do in each of its pools."""
-    pools = {pool.name: pool for pool in scene.document.pools}
+    pools = {pool.name: pool for pool in snapshot.document.pools}
     pending: dict[str, list[str]] = {name: [] for name in item.pools if name in pools}
-    for row in batch.list_pending(scene, item, scene.group_rows()):
+    for row in batch.list_pending(snapshot, item, snapshot.group_rows()):
         if row.pool in pending:
             pending[row.pool].append(row.vm)
     plans = []
     for name, vms in pending.items():
-        spare = len(scene.view.members(name)) - budget.required(pools[name])
+        spare = len(snapshot.view.members(name)) - budget.required(pools[name])
         borrows = spare < 1 and bool(vms)
         parallel = max(spare, 1)
-        rollout = math.ceil(len(vms) / parallel) * scene.limits.stop_estimate
+        rollout = math.ceil(len(vms) / parallel) * snapshot.limits.stop_estimate
         plans.append(PoolPlan(name, tuple(vms), parallel, borrows, rollout))
     return plans
 
 
-def plan_wave(scene: wave.Snapshot, item: document.Wave) -> Plan:
+def plan_wave(snapshot: wave.Snapshot, item: document.Wave) -> Plan:
     """Return the dry run of a wave from the fleet as it is.
 
     Parameters
     ----------
-    scene : Snapshot
+    snapshot : Snapshot
         The fleet; health checks are not needed.
     item : Wave
         The wave, started or not.
     """
-    stop = scene.limits.stop_estimate
-    plans = plan_pools(scene, item)
+    stop = snapshot.limits.stop_estimate
+    plans = plan_pools(snapshot, item)
     borrowers = [plan for plan in plans if plan.borrows]
-    lenders, problems = count_lenders(scene, borrowers)
+    lenders, problems = count_lendable(snapshot, borrowers)
     own = max((plan.rollout for plan in plans if not plan.borrows), default=0.0)
     lent = sum(plan.rollout + stop for plan in borrowers) / max(lenders, 1)
-    sizes = {pool.name: pool.size for pool in scene.document.pools}
-    deficits = move.measure(sizes, scene.view.vms.values()).deficits
+    sizes = {pool.name: pool.size for pool in snapshot.document.pools}
+    deficits = move.measure_imbalance(sizes, snapshot.view.vms.values()).deficits
     bounds = Measures(
         1 if any(plan.order for plan in plans) else 0,
         max(
@@ -217,23 +219,23 @@
     spare = sum(plan.parallel for plan in plans if not plan.borrows and plan.order)
     moves = sum(deficits.values()) + len(borrowers)
     measures = Measures(spare + lenders, max(own, lent), moves)
-    start = max(scene.observation.now, item.window.start)
+    start = max(snapshot.observation.now, item.window.start)
     return Plan(
         item.name,
         tuple(plans),
         measures,
         bounds,
-        weigh(measures, bounds, scene.document.weights),
+        compute_score(measures, bounds, snapshot.document.weights),
         start + measures.rollout <= item.window.end,
         tuple(problems),
     )
 
 
-def count_lenders(
-    scene: wave.Snapshot, borrowers: Iterable[PoolPlan]
+def count_lendable(
+    snapshot: wave.Snapshot, borrowers: Iterable[PoolPlan]
 ) -> tuple[int, list[str]]:
     """Return how many VMs buffer pools can lend, and which pools get none."""
-    pools = {pool.name: pool for pool in scene.document.pools}
+    pools = {pool.name: pool for pool in snapshot.document.pools}
     lenders = {
         pool.kind: pool.size
         for pool in pools.values()
--- a/wigeonhitch/fleet/routes.py
+++ b/wigeonhitch/fleet/routes.py
@@ -51,7 +51,7 @@
     source : callable
         Returns the accepted document, or None when it is not known.
     """
-    desk = Desk(seen, source)
+    desk = FleetHandlers(seen, source)
     routes = [
         route.Route("GET", "/pools", False, desk.list_pools),
         route.Route("GET", "/pools/{pool}", False, desk.show_pool),
@@ -70,7 +70,7 @@
     return route.Answer(status, {"reason": reason})
 
 
-class Desk:
+class FleetHandlers:
     """The handlers of the routes; see `build_routes`."""
 
     def __init__(
@@ -82,7 +82,7 @@
         self._source = source
         self._lock = anyio.Lock()
 
-    async def _look(self) -> wave.Snapshot | route.Answer:
+    async def _read_snapshot(self) -> wave.Snapshot | route.Answer:
         """Return the fleet as the table and the VM list show it now."""
         accepted = self._source()
         if accepted is None:
@@ -90,81 +90,91 @@
         async with self._lock:
             if not await self._seen.refresh():
                 return refuse(503, self._seen.problem)
-            return self._seen.compose(accepted, frozenset())
+            return self._seen.build_snapshot(accepted, frozenset())
 
-    async def _check(self, scene: wave.Snapshot, pools: Iterable[str]) -> wave.Snapshot:
-        """Return the scene with the health of all VMs that its answer names.
+    async def _check(
+        self, snapshot: wave.Snapshot, pools: Iterable[str]
+    ) -> wave.Snapshot:
+        """Return the snapshot with the health of all VMs that its answer names.
 
         Those are the VMs of some pools, and whatever the runner asks itself.
         """
-        vms = {row.vm for name in pools for row in scene.view.members(name)}
-        vms.update(observer.list_vms_to_check(scene))
-        healthy = await self._seen.check_health(vms, scene)
-        return scene._replace(observation=scene.observation._replace(healthy=healthy))
+        vms = {row.vm for name in pools for row in snapshot.view.members(name)}
+        vms.update(observer.list_vms_to_check(snapshot))
+        healthy = await self._seen.check_health(vms, snapshot)
+        return snapshot._replace(
+            observation=snapshot.observation._replace(healthy=healthy)
+        )
 
     async def list_pools(self, request: route.Request) -> route.Answer:
         """Answer all pools, without asking the workers."""
         del request
-        scene = await self._look()
-        if isinstance(scene, route.Answer):
-            return scene
-        listed = frozenset(scene.observation.machines)
-        scene = scene._replace(observation=scene.observation._replace(healthy=listed))
-        budgets = scene.measure_budgets()
-        shown = [describe_pool(scene, pool, budgets) for pool in scene.document.pools]
+        snapshot = await self._read_snapshot()
+        if isinstance(snapshot, route.Answer):
+            return snapshot
+        listed = frozenset(snapshot.observation.machines)
+        snapshot = snapshot._replace(
+            observation=snapshot.observation._replace(healthy=listed)
+        )
+        budgets = snapshot.measure_budgets()
+        shown = [
+            describe_pool(snapshot, pool, budgets) for pool in snapshot.document.pools
+        ]
         return route.Answer(200, {"pools": shown, "checked": False})
 
     async def show_pool(self, request: route.Request) -> route.Answer:
         """Answer one pool: who is up, what is taken, what waits and why."""
-        scene = await self._look()
-        if isinstance(scene, route.Answer):
-            return scene
+        snapshot = await self._read_snapshot()
+        if isinstance(snapshot, route.Answer):
+            return snapshot
         name = request.path["pool"]
-        pools = {pool.name: pool for pool in scene.document.pools}
+        pools = {pool.name: pool for pool in snapshot.document.pools}
         if name not in pools:
             return refuse(404, f"no pool {name!r} in the accepted document")
-        scene = await self._check(scene, (name,))
-        shown = describe_pool(scene, pools[name], scene.measure_budgets())
-        shown["vms"] = [describe_vm(scene, row) for row in scene.view.members(name)]
-        shown["waiting"] = list_waiting(scene, pool=name)
+        snapshot = await self._check(snapshot, (name,))
+        shown = describe_pool(snapshot, pools[name], snapshot.measure_budgets())
+        shown["vms"] = [
+            describe_vm(snapshot, row) for row in snapshot.view.members(name)
+        ]
+        shown["waiting"] = list_waiting(snapshot, pool=name)
         return route.Answer(200, shown | {"checked": True})
 
     async def list_waves(self, request: route.Request) -> route.Answer:
         """Answer all waves of the document with their progress."""
         del request
-        scene = await self._look()
-        if isinstance(scene, route.Answer):
-            return scene
-        shown = [describe_wave(scene, item) for item in scene.document.waves]
+        snapshot = await self._read_snapshot()
+        if isinstance(snapshot, route.Answer):
+            return snapshot
+        shown = [describe_wave(snapshot, item) for item in snapshot.document.waves]
         return route.Answer(200, {"waves": shown})
 
     async def show_wave(self, request: route.Request) -> route.Answer:
         """Answer one wave: progress of each VM, what waits and why."""
-        scene = await self._look()
-        if isinstance(scene, route.Answer):
-            return scene
-        item = find_wave(scene.document, request.path["wave"])
+        snapshot = await self._read_snapshot()
+        if isinstance(snapshot, route.Answer):
+            return snapshot
+        item = find_wave(snapshot.document, request.path["wave"])
         if item is None:
             return refuse(404, f"no wave {request.path['wave']!r} in the document")
-        scene = await self._check(scene, item.pools)
-        shown = describe_wave(scene, item)
-        rows = [row for row in scene.view.vms.values() if row.pool in item.pools]
+        snapshot = await self._check(snapshot, item.pools)
+        shown = describe_wave(snapshot, item)
+        rows = [row for row in snapshot.view.vms.values() if row.pool in item.pools]
         shown["vms"] = [
-            describe_vm(scene, row) | {"done": item.name in row.done}
+            describe_vm(snapshot, row) | {"done": item.name in row.done}
             for row in sorted(rows, key=lambda row: row.vm)
         ]
-        shown["waiting"] = list_waiting(scene, item=item)
+        shown["waiting"] = list_waiting(snapshot, item=item)
         return route.Answer(200, shown)
 
     async def show_plan(self, request: route.Request) -> route.Answer:
         """Answer what a wave would do: measures beside their lower bounds."""
-        scene = await self._look()
-        if isinstance(scene, route.Answer):
-            return scene
-        item = find_wave(scene.document, request.path["wave"])
+        snapshot = await self._read_snapshot()
+        if isinstance(snapshot, route.Answer):
+            return snapshot
+        item = find_wave(snapshot.document, request.path["wave"])
         if item is None:
             return refuse(404, f"no wave {request.path['wave']!r} in the document")
-        return route.Answer(200, describe_plan(planner.plan_wave(scene, item)))
+        return route.Answer(200, describe_plan(planner.plan_wave(snapshot, item)))
 
     def make_change(self, action: str) -> Callable:
         """Return the handler of one changing request on a wave."""
@@ -175,14 +185,14 @@
         return handle
 
     async def _change(self, action: str, request: route.Request) -> route.Answer:
-        scene = await self._look()
-        if isinstance(scene, route.Answer):
-            return scene
+        snapshot = await self._read_snapshot()
+        if isinstance(snapshot, route.Answer):
+            return snapshot
         name = request.path["wave"]
-        if find_wave(scene.document, name) is None:
+        if find_wave(snapshot.document, name) is None:
             return refuse(404, f"no wave {name!r} in the accepted document")
         status, sources = ALLOWED[action]
-        row = scene.view.waves.get(name)
+        row = snapshot.view.waves.get(name)
         held = row.status if row else None
         if held is status:
             return route.Answer(200, {"wave": name, "status": status.value})
@@ -190,7 +200,7 @@
             text = held.value if held else "not started"
             return refuse(409, f"wave {name} is {text}: cannot {action}")
         new = state.WaveRow(
-            name, status, request.operator, scene.observation.now, row_version(row)
+            name, status, request.operator, snapshot.observation.now, row_version(row)
         )
         return await self._commit(new, action)
 
@@ -218,7 +228,7 @@
     return next((item for item in accepted.waves if item.name == name), None)
 
 
-def describe_vm(scene: wave.Snapshot, row: state.VmRow) -> dict[str, Any]:
+def describe_vm(snapshot: wave.Snapshot, row: state.VmRow) -> dict[str, Any]:
     """Return what operators see of a VM."""
     return {
         "vm": row.vm,
@@ -227,13 +237,13 @@
         "since": row.since,
         "wave": row.wave,
         "target": row.target,
-        "listed": row.vm in scene.observation.machines,
-        "serving": scene.observation.is_serving(row.vm),
+        "listed": row.vm in snapshot.observation.machines,
+        "serving": snapshot.observation.is_serving(row.vm),
     }
 
 
 def describe_pool(
-    scene: wave.Snapshot, pool: document.Pool, budgets: dict[str, budget.Budget]
+    snapshot: wave.Snapshot, pool: document.Pool, budgets: dict[str, budget.Budget]
 ) -> dict[str, Any]:
     """Return size, budget and what is taken of a pool."""
     measured = budgets[pool.name]
@@ -241,18 +251,18 @@
         "pool": pool.name,
         "kind": pool.kind,
         "size": pool.size,
-        "members": len(scene.view.members(pool.name)),
+        "members": len(snapshot.view.members(pool.name)),
         "required": measured.required,
         "up": sorted(measured.up),
         "spare": measured.spare,
-        "taken": list(scene.view.pool(pool.name).taken),
+        "taken": list(snapshot.view.pool(pool.name).taken),
     }
 
 
-def describe_wave(scene: wave.Snapshot, item: document.Wave) -> dict[str, Any]:
+def describe_wave(snapshot: wave.Snapshot, item: document.Wave) -> dict[str, Any]:
     """Return status and progress of a wave."""
-    rows = [row for row in scene.view.vms.values() if row.pool in item.pools]
-    row = scene.view.waves.get(item.name)
+    rows = [row for row in snapshot.view.vms.values() if row.pool in item.pools]
+    row = snapshot.view.waves.get(item.name)
     active = [vm for vm in rows if vm.wave == item.name]
     down = state.VmState.DOWN
     return {
@@ -278,7 +288,7 @@
 
 
 def list_waiting(
-    scene: wave.Snapshot, *, pool: str = "", item: document.Wave | None = None
+    snapshot: wave.Snapshot, *, pool: str = "", item: document.Wave | None = None
 ) -> list[dict[str, Any]]:
     """Return why stops of a pool or wave wait, and since when.
 
@@ -286,32 +296,32 @@
     cannot be older.
     """
     found = []
-    _, steps = wave.advance(scene)
+    _, steps = wave.advance(snapshot)
     for vm, why in sorted(steps.items()):
-        row = scene.view.vms[vm]
+        row = snapshot.view.vms[vm]
         if row.pool == pool or (item and row.wave == item.name):
             found.append({"what": f"vm {vm}", "why": why, "since": row.since})
-    picks = dict(move.pick_moves(scene).waiting) if pool else {}
-    picks.update(batch.pick_stops(scene, (item,) if item else None).waiting)
+    picks = dict(move.pick_moves(snapshot).waiting) if pool else {}
+    picks.update(batch.pick_stops(snapshot, (item,) if item else None).waiting)
     for what, why in sorted(picks.items()):
         name = what.rpartition("/")[2]
-        if item is None and pool not in (name, *running_pools(scene, name)):
+        if item is None and pool not in (name, *running_pools(snapshot, name)):
             continue
-        found.append({"what": what, "why": why, "since": find_since(scene, what)})
+        found.append({"what": what, "why": why, "since": find_since(snapshot, what)})
     return found
 
 
-def running_pools(scene: wave.Snapshot, name: str) -> tuple[str, ...]:
+def running_pools(snapshot: wave.Snapshot, name: str) -> tuple[str, ...]:
     """Return the pools of a wave that is running or paused, else none."""
-    item = find_wave(scene.document, name)
-    row = scene.view.waves.get(name)
+    item = find_wave(snapshot.document, name)
+    row = snapshot.view.waves.get(name)
     is_begun = row is not None and row.status in (Status.RUNNING, Status.PAUSED)
     return item.pools if item and is_begun else ()
 
 
-def find_since(scene: wave.Snapshot, what: str) -> float:
+def find_since(snapshot: wave.Snapshot, what: str) -> float:
     """Return the last change of the wave and the pool named in ``what``."""
     first, _, last = what.partition("/")
-    times = [row.since for row in scene.view.members(last)]
-    row = scene.view.waves.get(first)
+    times = [row.since for row in snapshot.view.members(last)]
+    row = snapshot.view.waves.get(first)
     return max([*times, row.since if row else 0.0])
--- a/wigeonhitch/fleet/runner.py
+++ b/wigeonhitch/fleet/runner.py
@@ -23,13 +23,13 @@
 DUTY = "fleet"
 
 # Seconds between rounds.
-INTERVAL = 2.0
+ROUND_INTERVAL_SECONDS = 2.0
 # Seconds between rounds while a stop is under way. Each stop takes four rounds,
 # so the pause between rounds is part of every roll-out; at 4 to 5 reads a round
 # this costs ten reads a second on one daemon, only while a wave or move runs.
-BUSY_INTERVAL = 0.5
+BUSY_ROUND_INTERVAL_SECONDS = 0.5
 # Seconds after which an observation is too old to take VMs out of service on.
-OBSERVATION_AGE = 15.0
+MAX_OBSERVATION_AGE_SECONDS = 15.0
 
 Source = Callable[[], document.Document | None]
 
@@ -88,23 +88,23 @@
             return "no accepted document is known"
         if not await self.seen.refresh():
             return self.seen.problem
-        scene = await self.seen.make_scene(accepted)
-        return await self._carry_out(scene)
+        snapshot = await self.seen.take_snapshot(accepted)
+        return await self._carry_out(snapshot)
 
-    async def _carry_out(self, scene: wave.Snapshot) -> str:
-        """Commit every step that the scene allows, each on the newest view."""
-        steps = wave.advance(scene)[0]
+    async def _carry_out(self, snapshot: wave.Snapshot) -> str:
+        """Commit every step that the snapshot allows, each on the newest view."""
+        steps = wave.advance(snapshot)[0]
         if not await self._commit_all(steps):
             return "a step was not committed"
-        await self._ask_reboots(scene)
-        others = move.release(scene, self.seen.missing) + move.assign_vms(scene)
+        await self._request_reboots(snapshot)
+        others = move.release(snapshot, self.seen.missing) + move.assign_vms(snapshot)
         if not await self._commit_all(others):
             return "a step was not committed"
         for pick in (move.pick_moves, batch.pick_stops):
-            if not await self._commit_all(pick(scene).changes):
+            if not await self._commit_all(pick(snapshot).changes):
                 return "a step was not committed"
-        for item in batch.list_finished(scene):
-            if not await self._finish(scene, item):
+        for item in batch.list_finished(snapshot):
+            if not await self._finish(snapshot, item):
                 return "a step was not committed"
         return ""
 
@@ -117,8 +117,8 @@
     async def _commit(self, item: change.Change) -> bool:
         """Commit one change; False ends the round, the next one reads anew."""
         held = self.leases.current(DUTY)
-        age = self.seen.platform.clock() - self.seen.seen_at
-        if held is None or age > OBSERVATION_AGE:
+        age = self.seen.platform.clock() - self.seen.refreshed_at
+        if held is None or age > MAX_OBSERVATION_AGE_SECONDS:
             return False
         transaction = change.build(item, self.seen.view, held.condition)
         if not await self._write(transaction, item.step.value):
@@ -126,7 +126,7 @@
         if item.step is change.Step.LOSE:
             log.log_problem("VM is down", vm=item.row.vm, why=item.why)
         if item.step is change.Step.REBOOT:
-            await self._ask_reboot(self.seen.view.vms[item.row.vm])
+            await self._request_reboot(self.seen.view.vms[item.row.vm])
         return True
 
     async def _write(self, transaction: change.Transaction, name: str) -> bool:
@@ -143,24 +143,24 @@
         self.seen.view.apply_rows(rows)
         return True
 
-    async def _finish(self, scene: wave.Snapshot, item: document.Wave) -> bool:
+    async def _finish(self, snapshot: wave.Snapshot, item: document.Wave) -> bool:
         held = self.leases.current(DUTY)
         if held is None:
             return False
-        row = scene.view.waves[item.name]._replace(
-            status=state.WaveStatus.DONE, since=scene.observation.now
+        row = snapshot.view.waves[item.name]._replace(
+            status=state.WaveStatus.DONE, since=snapshot.observation.now
         )
         transaction = change.build_wave(row, "no VM is left", held.condition)
         return await self._write(transaction, "finish")
 
-    async def _ask_reboots(self, scene: wave.Snapshot) -> None:
+    async def _request_reboots(self, snapshot: wave.Snapshot) -> None:
         now = self.seen.platform.clock()
-        for row in wave.find_reboots(scene):
+        for row in wave.find_pending_reboots(snapshot):
             asked = self._asked.get((row.vm, row.boot))
-            if asked is None or now - asked >= scene.limits.reboot_retry:
-                await self._ask_reboot(row)
+            if asked is None or now - asked >= snapshot.limits.reboot_retry:
+                await self._request_reboot(row)
 
-    async def _ask_reboot(self, row: state.VmRow) -> None:
+    async def _request_reboot(self, row: state.VmRow) -> None:
         """Ask for the reboot, if the duty is still held.
 
         A daemon that is paused between this check and the call sends it late.
@@ -180,8 +180,8 @@
 async def run(
     runner: Runner,
     *,
-    interval: float = INTERVAL,
-    busy_interval: float = BUSY_INTERVAL,
+    interval: float = ROUND_INTERVAL_SECONDS,
+    busy_interval: float = BUSY_ROUND_INTERVAL_SECONDS,
     task_status: anyio.abc.TaskStatus = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Compete for the duty and run rounds until cancelled.
--- a/wigeonhitch/fleet/tests/test_decisions.py
+++ b/wigeonhitch/fleet/tests/test_decisions.py
@@ -17,7 +17,7 @@
 
 
 def build_scene(pools, rows, *, waves=(), sick=(), count=40, **fields):
-    """Return a scene of VMs v000.. of which ``rows`` says the pool."""
+    """Return a snapshot of VMs v000.. of which ``rows`` says the pool."""
     accepted = document.Document("f", (), (), tuple(pools), (), (), waves=waves)
     listed = {
         item["vm"]: machines.Machine(state=machines.MachineState.LIVE, **item)
@@ -49,19 +49,19 @@
     return document.Wave("w", pools, document.Window(0.0, end), "kernel")
 
 
-def simulate_moves(scene, rounds=20):
+def simulate_moves(snapshot, rounds=20):
     """Drain and finish moves until none is left; return how many were made."""
     made = 0
     for _ in range(rounds):
-        budgets = scene.measure_budgets()
-        for pool in scene.document.pools:
+        budgets = snapshot.measure_budgets()
+        for pool in snapshot.document.pools:
             assert budgets[pool.name].spare >= 0
-        for item in move.pick_moves(scene).changes:
-            scene.view.vms[item.row.vm] = item.row
+        for item in move.pick_moves(snapshot).changes:
+            snapshot.view.vms[item.row.vm] = item.row
             made += 1
-        for item in wave.advance(scene)[0]:
+        for item in wave.advance(snapshot)[0]:
             assert item.step is change.Step.ARRIVE
-            scene.view.vms[item.row.vm] = item.row
+            snapshot.view.vms[item.row.vm] = item.row
     return made
 
 
@@ -74,9 +74,9 @@
 
 def test_stops_of_one_failure_domain_leave_as_much_budget_besides():
     pool = build_pool("a", 12, 8, "data_centre")
-    scene = build_scene([pool], build_rows({"a": 12}), waves=(build_wave("a"),))
-    picks = batch.pick_stops(scene).changes
-    domains = [scene.observation.machines[item.row.vm].data_centre for item in picks]
+    snapshot = build_scene([pool], build_rows({"a": 12}), waves=(build_wave("a"),))
+    picks = batch.pick_stops(snapshot).changes
+    domains = [snapshot.observation.machines[item.row.vm].data_centre for item in picks]
     # Four spare: after two in d0 two are left, a third there would leave one.
     assert sorted(domains) == ["d0", "d0", "d1", "d2"]
 
@@ -84,17 +84,17 @@
 def test_cut_off_runner_takes_nothing():
     rows = build_rows({"a": 6})
     everything = [row.vm for row in rows]
-    scene = build_scene(
+    snapshot = build_scene(
         [build_pool("a", 6, 4)], rows, waves=(build_wave("a"),), sick=everything
     )
-    assert not batch.pick_stops(scene).changes
+    assert not batch.pick_stops(snapshot).changes
 
 
 @pytest.mark.parametrize("end", [50.0, 150.0])
 def test_no_stop_begins_that_cannot_end_in_the_window(end):
     item = build_wave("a", end=end)
-    scene = build_scene([build_pool("a", 6, 4)], build_rows({"a": 6}), waves=(item,))
-    assert "closed" in batch.pick_stops(scene).waiting["w"]
+    snapshot = build_scene([build_pool("a", 6, 4)], build_rows({"a": 6}), waves=(item,))
+    assert "closed" in batch.pick_stops(snapshot).waiting["w"]
 
 
 def test_daemon_is_gone_only_by_a_list_newer_than_its_validity():
@@ -121,17 +121,17 @@
         for name, expires, drain in (("d", 20.0, 6), ("e", 110, 7), ("f", 110, 7))
     ]
     for seen_at, found in ((20.0, 0), (40.0, 1)):
-        scene = build_scene([], [], daemons=rows, drained={"v000": seen_at})
-        assert len(wave.find_unconfirmed(scene, row)) == found
+        snapshot = build_scene([], [], daemons=rows, drain_seen_at={"v000": seen_at})
+        assert len(wave.find_unconfirmed(snapshot, row)) == found
 
 
 def test_reboot_waits_for_a_list_newer_than_the_drain():
     row = state.VmRow("v000", "a", state.VmState.DRAINING, "w", since=101.0, version=7)
     rows = [row, *build_rows({"a": 6})[1:]]
-    scene = build_scene(
+    snapshot = build_scene(
         [build_pool("a", 6, 4)], rows, waves=(build_wave("a"),), daemons_revision=7
     )
-    steps, waiting = wave.advance(scene)
+    steps, waiting = wave.advance(snapshot)
     assert not steps and "older than the drain" in waiting["v000"]
 
 
@@ -143,23 +143,23 @@
         build_pool(name, size, min(size, held[name]) - 1)
         for name, size in meant.items()
     ]
-    scene = build_scene(pools, build_rows(held))
-    assert simulate_moves(scene) == 6
-    sizes = {name: len(scene.view.members(name)) for name in meant}
+    snapshot = build_scene(pools, build_rows(held))
+    assert simulate_moves(snapshot) == 6
+    sizes = {name: len(snapshot.view.members(name)) for name in meant}
     assert sizes == meant
 
 
 def test_pools_without_a_spare_borrow_one_vm_after_the_other():
     pools = [build_pool(name, 3, 3) for name in "abc"] + [build_pool("spare", 1, 0)]
     item = build_wave("a", "b", "c", "spare")
-    scene = build_scene(
+    snapshot = build_scene(
         pools, build_rows({"a": 3, "b": 3, "c": 3, "spare": 1}), waves=(item,)
     )
-    lent = move.find_lent(scene)
+    lent = move.compute_intended_sizes(snapshot)
     assert lent == {"a": 4, "b": 3, "c": 3, "spare": 0}
-    for row in scene.view.members("a"):
-        scene.view.vms[row.vm] = row._replace(done=("w",))
-    assert move.find_lent(scene)["b"] == 4
+    for row in snapshot.view.members("a"):
+        snapshot.view.vms[row.vm] = row._replace(done=("w",))
+    assert move.compute_intended_sizes(snapshot)["b"] == 4
 
 
 def test_buffer_fills_the_place_of_a_lost_vm():
@@ -170,11 +170,11 @@
 
 
 def test_unassigned_vms_are_spread_over_failure_domains():
-    scene = build_scene([build_pool("a", 3, 2), build_pool("b", 3, 2)], [], count=12)
-    placed = move.assign_vms(scene)
+    snapshot = build_scene([build_pool("a", 3, 2), build_pool("b", 3, 2)], [], count=12)
+    placed = move.assign_vms(snapshot)
     for name in "ab":
         racks = [
-            scene.observation.machines[item.row.vm].rack
+            snapshot.observation.machines[item.row.vm].rack
             for item in placed
             if item.row.pool == name
         ]
@@ -205,19 +205,19 @@
 
 def test_only_workers_that_a_decision_depends_on_are_asked():
     rows = build_rows({"a": 3, "b": 3, "c": 3})
-    scene = build_scene(
+    snapshot = build_scene(
         [build_pool(name, 3, 2) for name in "abc"], rows, waves=(build_wave("a", "b"),)
     )
     names = [row.vm for row in rows]
-    assert observer.list_vms_to_check(scene) == names[:6]
+    assert observer.list_vms_to_check(snapshot) == names[:6]
     rebooting = rows[0]._replace(state=state.VmState.REBOOTING, boot=0, wave="w")
-    scene.view.vms[names[0]] = rebooting
-    assert observer.list_vms_to_check(scene) == names[3:6]
+    snapshot.view.vms[names[0]] = rebooting
+    assert observer.list_vms_to_check(snapshot) == names[3:6]
     draining = rows[0]._replace(state=state.VmState.DRAINING, wave="w")
-    scene.view.vms[names[0]] = draining
-    assert observer.list_vms_to_check(scene) == names[:6]
-    scene.view.vms[names[8]] = rows[8]._replace(state=state.VmState.CHECKING)
-    assert names[8] in observer.list_vms_to_check(scene)
+    snapshot.view.vms[names[0]] = draining
+    assert observer.list_vms_to_check(snapshot) == names[:6]
+    snapshot.view.vms[names[8]] = rows[8]._replace(state=state.VmState.CHECKING)
+    assert names[8] in observer.list_vms_to_check(snapshot)
 
 
 @pytest.mark.parametrize("name", ["REBOOTING", "CHECKING", "DOWN"])
@@ -225,7 +225,7 @@
     # A late reboot of this boot number may still come and cut requests off.
     row = state.VmRow("v000", "a", state.VmState[name], "w", since=99.0, boot=0)
     for boot, count in ((0, 0), (1, 1)):
-        scene = build_scene([build_pool("a", 1, 0)], [row])
-        seen = scene.observation.machines
+        snapshot = build_scene([build_pool("a", 1, 0)], [row])
+        seen = snapshot.observation.machines
         seen["v000"] = seen["v000"]._replace(boot=boot)
-        assert len(wave.advance(scene)[0]) == count
+        assert len(wave.advance(snapshot)[0]) == count
--- a/wigeonhitch/fleet/tests/test_history.py
+++ b/wigeonhitch/fleet/tests/test_history.py
@@ -89,7 +89,7 @@
         if new["wave"]:
             assert self.rows[f"wave/{new['wave']}"]["status"] == "running"
         seen_at, failures = self.clients[entry.daemon].observed
-        assert entry.time - seen_at <= runner.OBSERVATION_AGE
+        assert entry.time - seen_at <= runner.MAX_OBSERVATION_AGE_SECONDS
         # Failures after the runner looked are those no planner can foresee.
         excused = set(self.world.failures[failures:])
         up = [
