--- a/wigeonhitch/fleet/batch.py
+++ b/wigeonhitch/fleet/batch.py
@@ -1,4 +1,4 @@
-"""Batches: which VMs running waves stop next, and when a wave has finished."""
+"""Batches: which VMs the running waves stop next, and which waves are finished."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -11,43 +11,43 @@
 VmState = state.VmState
 Step = change.Step
 
-# VM rows by pool, made once a round: with 128 waves under way, a pass over the
-# fleet for each of them would be most of the round.
-Groups = Mapping[str, Iterable[state.VmRow]]
+# VM rows by pool, grouped once per round: with 128 running waves, one pass over
+# the fleet for each wave would dominate the cost of a round.
+RowsByPool = Mapping[str, Iterable[state.VmRow]]
 
 
 class Picks(NamedTuple):
-    """Stops to begin, and why the others of each wave or pool wait."""
+    """Stops to begin, and why further stops of a wave or pool must wait."""
 
     changes: tuple[change.Change, ...]
     waiting: Mapping[str, str]
 
 
 def list_pending(
-    snapshot: wave.Snapshot, item: document.Wave, groups: Groups
+    snapshot: wave.Snapshot, wave_spec: document.Wave, rows_by_pool: RowsByPool
 ) -> list[state.VmRow]:
-    """Return the VMs that a wave has still to stop, in order of failure domain.
+    """Return the VMs that a wave has yet to stop, in order of failure domain.
 
-    One data centre and rack after the other, so that a change that harms what
-    it restarts has harmed one domain only when the operator pauses the wave.
-    VMs that do not serve go first: they cost no budget.
+    VMs are ordered by data centre and rack, so that a faulty change is still
+    confined to one failure domain when the operator pauses the wave. Unhealthy
+    VMs come first, because stopping them uses no budget.
     """
-    seen = snapshot.observation
+    observation = snapshot.observation
     rows = [
         row
-        for pool in item.pools
-        for row in groups.get(pool, ())
+        for pool in wave_spec.pools
+        for row in rows_by_pool.get(pool, ())
         if row.state is VmState.UP
-        and item.name not in row.done
-        and seen.is_live(row.vm)
+        and wave_spec.name not in row.done
+        and observation.is_live(row.vm)
     ]
 
-    def order(row: state.VmRow) -> tuple:
-        machine = seen.machines[row.vm]
-        place = (machine.data_centre, machine.rack, row.vm)
-        return (row.vm in seen.healthy, *place)
+    def sort_key(row: state.VmRow) -> tuple:
+        machine = observation.machines[row.vm]
+        location = (machine.data_centre, machine.rack, row.vm)
+        return (row.vm in observation.healthy, *location)
 
-    return sorted(rows, key=order)
+    return sorted(rows, key=sort_key)
 
 
 def pick_stops(
@@ -55,21 +55,23 @@
 ) -> Picks:
     """Return the stops that running waves may begin now.
 
-    The largest step that the budgets allow, VM by VM: each pick lowers the
-    budget that the next one sees. Waves of one pool share its budget in the
-    order of the document.
+    Picks as many VMs as the budgets allow; each pick is charged to the budget
+    before the next VM is considered. Waves that stop VMs of the same pool use
+    its budget in the order of the document.
     """
     budgets = snapshot.measure_budgets()
-    groups = snapshot.group_rows()
+    rows_by_pool = snapshot.group_rows()
     pools = {pool.name: pool for pool in snapshot.document.pools}
     changes: dict[str, change.Change] = {}
     waiting: dict[str, str] = {}
-    for item in snapshot.document.waves if waves is None else waves:
-        closed = wave.tell_closed(snapshot, item, snapshot.limits.stop_estimate)
-        if closed:
-            waiting[item.name] = closed
+    for wave_spec in snapshot.document.waves if waves is None else waves:
+        closed_reason = wave.tell_closed(
+            snapshot, wave_spec, snapshot.limits.stop_estimate
+        )
+        if closed_reason:
+            waiting[wave_spec.name] = closed_reason
             continue
-        for row in list_pending(snapshot, item, groups):
+        for row in list_pending(snapshot, wave_spec, rows_by_pool):
             if row.vm in changes or row.pool not in pools:
                 continue
             domain = budget.make_domain_lookup(pools[row.pool], snapshot.observation)(
@@ -77,25 +79,31 @@
             )
             refusal = budgets[row.pool].check_stop(row.vm, domain)
             if refusal.reason:
-                waiting.setdefault(f"{item.name}/{row.pool}", refusal.reason)
+                waiting.setdefault(f"{wave_spec.name}/{row.pool}", refusal.reason)
                 continue
             budgets[row.pool] = budgets[row.pool].take(row.vm, domain)
-            new = wave.set_state(row, VmState.DRAINING, snapshot, wave=item.name)
-            why = f"wave {item.name}: {item.reason}"
-            changes[row.vm] = change.Change(Step.TAKE, new, why)
+            new_row = wave.set_state(
+                row, VmState.DRAINING, snapshot, wave=wave_spec.name
+            )
+            why = f"wave {wave_spec.name}: {wave_spec.reason}"
+            changes[row.vm] = change.Change(Step.TAKE, new_row, why)
     return Picks(tuple(changes.values()), waiting)
 
 
 def list_finished(snapshot: wave.Snapshot) -> list[document.Wave]:
-    """Return the running waves with nothing left to stop or to wait for."""
+    """Return the running waves with no VM pending or under a planned stop."""
     active = (VmState.DRAINING, VmState.REBOOTING, VmState.CHECKING)
-    waited = {row.wave for row in snapshot.view.vms.values() if row.state in active}
-    groups = snapshot.group_rows()
+    active_waves = {
+        row.wave for row in snapshot.view.vms.values() if row.state in active
+    }
+    rows_by_pool = snapshot.group_rows()
     finished = []
-    for item in snapshot.document.waves:
-        row = snapshot.view.waves.get(item.name)
+    for wave_spec in snapshot.document.waves:
+        row = snapshot.view.waves.get(wave_spec.name)
         if row is None or row.status is not state.WaveStatus.RUNNING:
             continue
-        if item.name not in waited and not list_pending(snapshot, item, groups):
-            finished.append(item)
+        if wave_spec.name not in active_waves and not list_pending(
+            snapshot, wave_spec, rows_by_pool
+        ):
+            finished.append(wave_spec)
     return finished
--- a/wigeonhitch/fleet/budget.py
+++ b/wigeonhitch/fleet/budget.py
@@ -1,14 +1,14 @@
-"""Availability budgets: how many VMs of a pool a planned stop may take now.
+"""Availability budgets: how many VMs of a pool may be under a planned stop.
 
-A VM counts as up when the table says ``up`` (no planned stop has taken it),
-the platform lists it as live and its health check passed just now. What should
-be up does not count: an unplanned loss lowers the spare at once, and the next
-planned stop is refused, or one that has not yet begun is given back.
+A VM counts as up when its row says ``up`` (it is not under a planned stop), the
+platform lists it as live and its latest health check passed. Because only
+observed health counts, an unplanned loss lowers the spare at once: the next
+planned stop is refused, or a drain that has not led to a reboot is given back.
 
-No planner can promise that a pool stays within its budget when VMs fail after
-the last VM that was allowed to stop has been told to reboot. The promise made
-here is narrower: at the moment a stop takes its part of the budget, and again
-right before the reboot is committed, the pool has its required VMs without it.
+A pool can still fall below its budget when VMs fail after a reboot has been
+committed. The guarantee is therefore limited to two moments: when a stop is
+charged to the budget, and right before its reboot is committed, the pool has
+its required VMs without the stopped one.
 """
 
 import math
@@ -22,7 +22,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why a VM may not be taken now; ``reason`` is empty when it may."""
+    """Why a VM may not be stopped now; ``reason`` is empty when it may."""
 
     reason: str = ""
 
@@ -37,25 +37,25 @@
     """
     if pool.must_be_up.number is not None:
         return pool.must_be_up.number
-    # Rounded first: 0.1 * 30 is a little above 3 in binary and would
-    # otherwise ask for a fourth VM that no operator meant.
+    # Round first: in binary floating point 0.1 * 30 is slightly above 3, and
+    # math.ceil would require a fourth VM.
     return math.ceil(round((pool.must_be_up.share or 0.0) * pool.size, 9))
 
 
 def make_domain_lookup(
     pool: document.Pool, observation: state.Observation
 ) -> Callable[[str], str]:
-    """Return a function from VM to its failure domain by the pool's spread."""
+    """Return a function that maps a VM to its failure domain in the pool."""
 
-    def tell(vm: str) -> str:
+    def find_domain(vm: str) -> str:
         machine = observation.machines.get(vm)
         return getattr(machine, pool.spread) if machine else ""
 
-    return tell
+    return find_domain
 
 
 class Budget(NamedTuple):
-    """The budget of one pool at one moment.
+    """The availability budget of one pool at one moment.
 
     Parameters
     ----------
@@ -66,7 +66,7 @@
     up : frozenset of str
         VMs that are up now.
     stops_by_domain : dict of str to int
-        VMs taken by planned stops, by failure domain.
+        Number of VMs under a planned stop, by failure domain.
     """
 
     pool: str
@@ -76,20 +76,22 @@
 
     @property
     def spare(self) -> int:
-        """Return how many VMs may be lost now; negative when under budget."""
+        """Return how many VMs may be lost now; negative when below the budget."""
         return len(self.up) - self.required
 
     def check_stop(self, vm: str, domain: str) -> Refusal:
-        """Decide whether a planned stop may take ``vm`` now.
-
-        Made for waves and moves that compete for one pool while VMs fail.
-        A VM that is up needs one spare. One that is not up costs nothing, since
-        a reboot may bring it back, but the pool must hold its budget without
-        it: a runner that is itself cut off from the workers sees all of them
-        fail and must not reboot them. Stops of one failure
-        domain fail together more often than others (a rack that loses power
-        on restart), so beyond the first, a domain has at most as many stops
-        under way as the budget could lose besides all stops under way.
+        """Return why a planned stop of ``vm`` is refused, or an empty refusal.
+
+        Waves and moves compete for the budget of a pool while VMs fail. A VM
+        that is up needs one spare VM. One that is not up needs none, since a
+        reboot may recover it, but the pool must be within its budget without
+        it: a runner that is partitioned from the workers sees all of them as
+        unhealthy and must not reboot them.
+
+        Stops in one failure domain fail together more often than others (a rack
+        that loses power on restart). Beyond the first stop, a domain therefore
+        has at most as many stops under way as the pool has spare VMs left after
+        all stops under way.
         """
         needed = 1 if vm in self.up else 0
         if self.spare < needed:
@@ -97,14 +99,14 @@
             return Refusal(f"{text}, {self.required} must be up")
         if not needed:
             return Refusal()
-        there = self.stops_by_domain.get(domain, 0) + 1
-        if there > max(1, self.spare - 1):
+        domain_stops = self.stops_by_domain.get(domain, 0) + 1
+        if domain_stops > max(1, self.spare - 1):
             text = f"failure domain {domain} of pool {self.pool}"
-            return Refusal(f"{text} has {there - 1} stops under way")
+            return Refusal(f"{text} has {domain_stops - 1} stops under way")
         return Refusal()
 
     def take(self, vm: str, domain: str) -> "Budget":
-        """Return the budget after a planned stop has taken ``vm``."""
+        """Return the budget with ``vm`` charged to it as a planned stop."""
         stops = dict(self.stops_by_domain)
         stops[domain] = stops.get(domain, 0) + 1
         return self._replace(up=self.up - {vm}, stops_by_domain=stops)
@@ -115,8 +117,8 @@
     rows: Iterable[state.VmRow],
     observation: state.Observation,
 ) -> Budget:
-    """Return the budget of a pool from its VM rows and what is up now."""
-    tell = make_domain_lookup(pool, observation)
+    """Return the budget of a pool from its VM rows and the VMs that are up."""
+    find_domain = make_domain_lookup(pool, observation)
     up = set()
     stops: dict[str, int] = {}
     for row in rows:
@@ -124,5 +126,5 @@
             if observation.is_serving(row.vm):
                 up.add(row.vm)
         elif row.state is not state.VmState.DOWN:
-            stops[tell(row.vm)] = stops.get(tell(row.vm), 0) + 1
+            stops[find_domain(row.vm)] = stops.get(find_domain(row.vm), 0) + 1
     return Budget(pool.name, required(pool), frozenset(up), stops)
--- a/wigeonhitch/fleet/change.py
+++ b/wigeonhitch/fleet/change.py
@@ -1,8 +1,8 @@
-"""Changes of VM and wave rows, and the transaction that makes each of them.
+"""Changes of VM and wave rows, and the transactions that commit them.
 
-Every transaction carries the fencing condition of the duty's lease and the
-versions of the rows that the decision was made from, so a runner that was
-paused, or one that saw an older state, changes nothing.
+Every runner transaction is conditional on the fencing token of the duty's lease
+and on the versions of the rows that the decision was based on. A runner that was
+paused, or that read older rows, therefore changes nothing.
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class Step(enum.Enum):
-    """What a change does; the value stands in the history."""
+    """Kind of a change; its value is stored in the history."""
 
     TAKE = "take"
     GIVE_BACK = "give back"
@@ -34,11 +34,11 @@
     Parameters
     ----------
     step : Step
-        What it does.
+        Kind of the change.
     row : VmRow
-        The row as it shall be; its ``version`` is the one it replaces.
+        The new row; its ``version`` is that of the row it replaces.
     why : str
-        Readable reason for the history.
+        Reason that is stored in the history.
     """
 
     step: Step
@@ -59,7 +59,7 @@
 
 
 def list_taken(change: Change, pool: state.PoolRow) -> tuple[str, ...]:
-    """Return the VMs taken from the pool's budget once ``change`` is made."""
+    """Return the VMs charged to the pool's budget after ``change``."""
     others = [vm for vm in pool.taken if vm != change.row.vm]
     if change.step is Step.TAKE:
         return tuple(sorted([*others, change.row.vm]))
@@ -69,11 +69,11 @@
 
 
 def build(change: Change, view: state.FleetView, fence: table.Condition) -> Transaction:
-    """Return the transaction that makes ``change``.
+    """Return the transaction that commits ``change``.
 
-    The pool row whose budget the VM is counted in is always written along
-    with its VM, so two changes of one pool that were decided on the same state
-    cannot both be made.
+    Besides the VM's row it always writes the row of the pool whose budget the
+    VM counts in, so that of two changes of one pool which were decided on the
+    same state only one can be committed.
     """
     old = view.vms.get(change.row.vm)
     pool = view.pool(old.pool if old else change.row.pool)
@@ -99,18 +99,18 @@
         table.Condition(f"pool/{pool.pool}", pool.version),
     ]
     if change.row.wave and change.step in (Step.TAKE, Step.REBOOT):
-        # Once an operator's pause or abort is answered, no stop begins.
+        # No stop may begin after an operator's pause or abort was acknowledged.
         wave = view.waves.get(change.row.wave)
         version = wave.version if wave else 0
         conditions.append(table.Condition(f"wave/{change.row.wave}", version))
-    number = max(change.row.version, pool.version, fence.version)
+    history_version = max(change.row.version, pool.version, fence.version)
     return Transaction(
         tuple(conditions),
         (
             table.Write(vm_key, None if is_release else change.row.encode()),
             table.Write(f"pool/{pool.pool}", taken),
             table.Write(state.SIGNAL, {}),
-            table.Write(build_history_key(number, change.row.vm), history),
+            table.Write(build_history_key(history_version, change.row.vm), history),
         ),
     )
 
@@ -120,8 +120,8 @@
 ) -> Transaction:
     """Return the transaction that sets a wave's status.
 
-    An operator's request carries no fence: the version of the wave's row
-    alone decides between operators who race.
+    An operator's request has no fencing condition: concurrent requests are
+    resolved by the version of the wave's row alone.
     """
     key = f"wave/{row.wave}"
     history = {
