--- a/wigeonhitch/fleet/move.py
+++ b/wigeonhitch/fleet/move.py
@@ -1,13 +1,13 @@
 """Moves: which VMs change pools so that every pool has its intended size.
 
-Three kinds of change come from here. A VM of the list that no pool has yet is
-assigned to the pool with the largest deficit. A VM that has been gone from the
-list for long is released, so that its pool shows a deficit again. A VM of a
-pool with too many drains first and then arrives in a pool with too few.
-
-The number of moves is at its lower bound, the sum of the deficits that no
-unassigned VM can fill, because only pools above their intended size give and
-only pools below it receive: no VM moves twice and no pool does both.
+This module produces three kinds of change. A listed VM that belongs to no pool
+is assigned to the pool with the largest deficit. A VM that has been missing from
+the list for too long is released, so that its pool shows a deficit again. A VM
+of a pool with a surplus is drained and then joins a pool with a deficit.
+
+The number of moves equals its lower bound, the sum of the deficits that no
+unassigned VM can fill: only pools above their intended size give VMs and only
+pools below it receive them, so no VM moves twice and no pool does both.
 """
 
 import collections
@@ -31,17 +31,17 @@
 VmState = state.VmState
 Step = change.Step
 
-# Seconds for which a VM must be missing from the platform's list before its
-# pool stops counting on it. Longer than a reboot, so that a VM which is only
-# restarting keeps its pool, and much longer than the lag of the list.
+# Time for which a VM must be missing from the platform's list before it is
+# released from its pool. Longer than a reboot, so that a restarting VM keeps its
+# pool, and much longer than the lag of the list.
 RELEASE_AFTER_SECONDS = 900.0
 
-# VMs assigned in one round; each costs a look at every free VM.
+# VMs assigned in one round; each assignment scans all free VMs.
 MAX_ASSIGNMENTS_PER_ROUND = 100
 
 
 class Imbalance(NamedTuple):
-    """Deficits and surpluses of pools, in VMs; VMs on their way count as there."""
+    """Deficits and surpluses of pools, in VMs; a moving VM counts at its target."""
 
     deficits: Mapping[str, int]
     surpluses: Mapping[str, int]
@@ -50,7 +50,7 @@
 def measure_imbalance(
     intended: Mapping[str, int], rows: Iterable[state.VmRow]
 ) -> Imbalance:
-    """Return how far pools are from their intended sizes.
+    """Return the deviation of each pool from its intended size.
 
     Examples
     --------
@@ -62,22 +62,30 @@
     for row in rows:
         pool = row.target or row.pool
         sizes[pool] = sizes.get(pool, 0) + 1
-    gaps = {pool: intended.get(pool, 0) - size for pool, size in sizes.items()}
+    deviations = {pool: intended.get(pool, 0) - size for pool, size in sizes.items()}
     return Imbalance(
-        {pool: gap for pool, gap in sorted(gaps.items()) if gap > 0},
-        {pool: -gap for pool, gap in sorted(gaps.items()) if gap < 0},
+        {
+            pool: deviation
+            for pool, deviation in sorted(deviations.items())
+            if deviation > 0
+        },
+        {
+            pool: -deviation
+            for pool, deviation in sorted(deviations.items())
+            if deviation < 0
+        },
     )
 
 
 def compute_intended_sizes(snapshot: wave.Snapshot) -> dict[str, int]:
-    """Return the intended size of each pool, with what the buffers lend.
-
-    A buffer is a pool that must keep none up. It lends first to pools that
-    have lost VMs and hold fewer than must be up, then to pools without a
-    spare VM of their own, one VM each while a running wave has VMs of them
-    left. A borrowed VM passes from one pool to the next without returning to
-    the buffer in between, which is one move per pool, the lower bound. No
-    pool borrows a second VM while another waits for its first.
+    """Return the intended size of each pool, including VMs lent by buffers.
+
+    A buffer is a pool that requires no VM to be up. It lends VMs first to pools
+    that hold fewer VMs than must be up, then to pools without a spare VM of
+    their own: one VM each, for as long as a running wave has VMs of the pool
+    pending or stopped. A borrowed VM moves from one pool straight to the next
+    without returning to the buffer, which takes one move per pool, the lower
+    bound. No pool borrows a second VM while another waits for its first.
     """
     pools = {pool.name: pool for pool in snapshot.document.pools}
     sizes = {name: pool.size for name, pool in pools.items()}
@@ -96,8 +104,8 @@
             sizes[buffer] -= min(lost, sizes[buffer])
     borrowers = list_borrowers(snapshot)
     weights = snapshot.document.weights
-    # A buffer VM that no other pool waits for shortens the roll-out of the
-    # last pools for one more move, so the weights of the document decide.
+    # Lending a second VM, which no other pool waits for, shortens the roll-out
+    # at the cost of one more move, so it depends on the document's weights.
     if weights.rollout >= weights.moves:
         borrowers = [*borrowers, *borrowers]
     for name in borrowers:
@@ -109,37 +117,40 @@
 
 
 def list_borrowers(snapshot: wave.Snapshot) -> list[str]:
-    """Return the pools without a spare that a running wave has VMs left of."""
+    """Return the pools without a spare VM that a running wave still stops."""
     pools = {pool.name: pool for pool in snapshot.document.pools}
-    found: list[str] = []
-    groups = snapshot.group_rows()
-    for item in snapshot.document.waves:
-        if wave.tell_closed(snapshot, item, snapshot.limits.stop_estimate):
+    borrowers: list[str] = []
+    rows_by_pool = snapshot.group_rows()
+    for wave_spec in snapshot.document.waves:
+        if wave.tell_closed(snapshot, wave_spec, snapshot.limits.stop_estimate):
             continue
-        pending = {row.pool for row in batch.list_pending(snapshot, item, groups)}
+        pending = {
+            row.pool for row in batch.list_pending(snapshot, wave_spec, rows_by_pool)
+        }
         pending |= {
             pool
-            for pool in item.pools
-            for row in groups.get(pool, ())
-            if row.wave == item.name and row.state is not VmState.DOWN
+            for pool in wave_spec.pools
+            for row in rows_by_pool.get(pool, ())
+            if row.wave == wave_spec.name and row.state is not VmState.DOWN
         }
         for name in sorted(pending):
             pool = pools.get(name)
-            if pool and pool.size <= budget.required(pool) and name not in found:
-                found.append(name)
-    return found
+            if pool and pool.size <= budget.required(pool) and name not in borrowers:
+                borrowers.append(name)
+    return borrowers
 
 
 def assign_vms(snapshot: wave.Snapshot) -> list[change.Change]:
-    """Assign VMs of the list that no pool has, spread over failure domains.
+    """Assign listed VMs without a pool, spread over failure domains.
 
     The pool with the largest deficit chooses first, and takes a VM from the
-    failure domain in which it has fewest. At most `MAX_ASSIGNMENTS_PER_ROUND` VMs are
-    assigned at once, so that a whole new fleet does not hold up the round.
+    failure domain in which it has the fewest. At most
+    `MAX_ASSIGNMENTS_PER_ROUND` VMs are assigned at once, so that a completely new
+    fleet does not delay the round.
     """
     pools = {pool.name: pool for pool in snapshot.document.pools}
-    seen = snapshot.observation
-    gaps = dict(
+    observation = snapshot.observation
+    deficits = dict(
         measure_imbalance(
             compute_intended_sizes(snapshot), snapshot.view.vms.values()
         ).deficits
@@ -147,23 +158,23 @@
     spread = count_domains(snapshot)
     free = [
         machine
-        for name, machine in sorted(seen.machines.items())
-        if machine.role == "worker" and seen.is_live(name)
+        for name, machine in sorted(observation.machines.items())
+        if machine.role == "worker" and observation.is_live(name)
         if name not in snapshot.view.vms
     ]
     changes: list[change.Change] = []
-    while gaps and free and len(changes) < MAX_ASSIGNMENTS_PER_ROUND:
-        name = max(sorted(gaps), key=lambda name: gaps[name])
+    while deficits and free and len(changes) < MAX_ASSIGNMENTS_PER_ROUND:
+        name = max(sorted(deficits), key=lambda name: deficits[name])
         machine = choose_free_vm(pools[name], free, spread[name])
-        gaps[name] -= 1
-        if machine is None or not gaps[name]:
-            del gaps[name]
+        deficits[name] -= 1
+        if machine is None or not deficits[name]:
+            del deficits[name]
         if machine is None:
             continue
         free.remove(machine)
         domain = getattr(machine, pools[name].spread)
         spread[name][domain] = spread[name].get(domain, 0) + 1
-        row = state.VmRow(machine.vm, name, since=seen.now)
+        row = state.VmRow(machine.vm, name, since=observation.now)
         changes.append(change.Change(Step.ASSIGN, row, "VM had no pool"))
     return changes
 
@@ -173,26 +184,26 @@
     free: Iterable[machines.Machine],
     spread: Mapping[str, int],
 ) -> machines.Machine | None:
-    """Return the free VM of the pool's kind that spreads the pool best."""
-    fits = (machine for machine in free if machine.kind == pool.kind)
+    """Return the free VM of the pool's kind in its least used failure domain."""
+    candidates = (machine for machine in free if machine.kind == pool.kind)
     return min(
-        fits,
-        key=lambda item: (spread.get(getattr(item, pool.spread), 0), item.vm),
+        candidates,
+        key=lambda machine: (spread.get(getattr(machine, pool.spread), 0), machine.vm),
         default=None,
     )
 
 
 def count_domains(snapshot: wave.Snapshot) -> dict[str, dict[str, int]]:
-    """Return per pool how many of its VMs lie in each failure domain."""
+    """Return the number of VMs of each pool in each failure domain."""
     counts: dict[str, dict[str, int]] = {}
-    tells = {}
+    find_domain = {}
     for pool in snapshot.document.pools:
         counts[pool.name] = {}
-        tells[pool.name] = budget.make_domain_lookup(pool, snapshot.observation)
+        find_domain[pool.name] = budget.make_domain_lookup(pool, snapshot.observation)
     for row in snapshot.view.vms.values():
         pool = row.target or row.pool
         if pool in counts:
-            domain = tells[pool](row.vm)
+            domain = find_domain[pool](row.vm)
             counts[pool][domain] = counts[pool].get(domain, 0) + 1
     return counts
 
@@ -205,27 +216,28 @@
     Parameters
     ----------
     snapshot : Snapshot
-        What the decision is made from.
+        The state on which the decision is based.
     missing : mapping of str to float
-        Since when (``as_of``) each unlisted VM has been missing.
+        Time (``as_of`` of the list) since which each VM has been missing.
     """
     changes = []
     for vm, since in sorted(missing.items()):
         row = snapshot.view.vms.get(vm)
         is_gone = snapshot.observation.as_of - since >= RELEASE_AFTER_SECONDS
         if row and is_gone and vm not in snapshot.observation.machines:
-            gone = row._replace(since=snapshot.observation.now)
-            changes.append(change.Change(Step.RELEASE, gone, "gone from the list"))
+            new_row = row._replace(since=snapshot.observation.now)
+            changes.append(change.Change(Step.RELEASE, new_row, "gone from the list"))
     return changes
 
 
 def pick_moves(snapshot: wave.Snapshot) -> batch.Picks:
-    """Return the moves that may begin now: take budget of the donor, drain.
+    """Return the moves that may begin now, as drains of VMs of donor pools.
 
-    Donors with the largest surplus give first; of its VMs a donor gives one
-    from its most crowded failure domain into the one where the receiver has
-    fewest, so that both become more evenly spread. A donor's budget counts as
-    for any planned stop, so a move waits for its donor, never overspends it.
+    VMs are chosen first by the failure domain in which the receiver has the
+    fewest VMs, then by the largest surplus of the donor, then by the failure
+    domain in which the donor has the most, so that both pools become more evenly
+    spread. A move is charged to the donor's budget like any planned stop, and
+    waits until that budget allows it.
     """
     pools = {pool.name: pool for pool in snapshot.document.pools}
     budgets = snapshot.measure_budgets()
@@ -239,21 +251,21 @@
     taken: set[str] = set()
     for receiver in sorted(deficits, key=lambda name: (-deficits[name], name)):
         for _ in range(deficits[receiver]):
-            best = choose_donor(snapshot, receiver, surpluses, spread, budgets, taken)
-            if isinstance(best, budget.Refusal):
-                waiting[f"move/{receiver}"] = best.reason
+            donor = choose_donor(snapshot, receiver, surpluses, spread, budgets, taken)
+            if isinstance(donor, budget.Refusal):
+                waiting[f"move/{receiver}"] = donor.reason
                 break
-            taken.add(best.vm)
-            surpluses[best.pool] -= 1
+            taken.add(donor.vm)
+            surpluses[donor.pool] -= 1
             domain = budget.make_domain_lookup(pools[receiver], snapshot.observation)(
-                best.vm
+                donor.vm
             )
             spread[receiver][domain] = spread[receiver].get(domain, 0) + 1
-            new = best._replace(
+            new_row = donor._replace(
                 state=VmState.DRAINING, since=snapshot.observation.now, target=receiver
             )
             why = f"pool {receiver} is below its intended size"
-            changes.append(change.Change(Step.TAKE, new, why))
+            changes.append(change.Change(Step.TAKE, new_row, why))
     return batch.Picks(tuple(changes), waiting)
 
 
@@ -265,7 +277,7 @@
     budgets: dict[str, budget.Budget],
     taken: set[str],
 ) -> state.VmRow | budget.Refusal:
-    """Return the VM that should move to ``receiver``, or why none may now."""
+    """Return the VM to move to ``receiver``, or why no VM may move now."""
     pools = {pool.name: pool for pool in snapshot.document.pools}
     refusal = budget.Refusal("no pool of this kind has a VM to give")
     best: tuple[tuple, state.VmRow, str] | None = None
@@ -282,13 +294,15 @@
         domain = ""
         if donor in pools:
             domain = getattr(machine, pools[donor].spread)
-            answer = budgets[donor].check_stop(row.vm, domain)
-            if answer.reason:
-                refusal = answer
+            budget_refusal = budgets[donor].check_stop(row.vm, domain)
+            if budget_refusal.reason:
+                refusal = budget_refusal
                 continue
-        there = spread[receiver].get(getattr(machine, pools[receiver].spread), 0)
-        here = spread.get(donor, {}).get(domain, 0)
-        key = (there, -surpluses[donor], -here, row.vm)
+        receiver_count = spread[receiver].get(
+            getattr(machine, pools[receiver].spread), 0
+        )
+        donor_count = spread.get(donor, {}).get(domain, 0)
+        key = (receiver_count, -surpluses[donor], -donor_count, row.vm)
         if best is None or key < best[0]:
             best = (key, row, domain)
     if best is None:
--- a/wigeonhitch/fleet/wave.py
+++ b/wigeonhitch/fleet/wave.py
@@ -1,8 +1,8 @@
-"""Maintenance waves: which VM takes which step next.
+"""Maintenance waves: state machine of the planned stop of each VM.
 
-Each VM of a wave goes through take (its part of the budget is taken and the
-drain begins), reboot, check and return. The state stands in the VM's row
-alone, so whichever daemon holds the duty goes on from there:
+Each VM of a wave goes through the steps take (the stop is charged to the budget
+and the drain begins), reboot, check and return. The state is stored only in the
+VM's row, so a daemon that takes over the duty continues from there:
 
 ========== ============================================ =====================
 state      left when                                    to
@@ -19,9 +19,9 @@
 down       a higher boot number and a passed check      up
 ========== ============================================ =====================
 
-Once ``rebooting`` is committed there is no way back to ``up`` but through a
-higher boot number: a paused daemon may still send the reboot, and until the
-boot number has moved it would cut off requests in progress.
+Once ``rebooting`` is committed, a VM returns to ``up`` only with a higher boot
+number: a paused daemon may still send the reboot request, which would cut off
+requests in progress as long as the boot number has not increased.
 """
 
 import types
@@ -46,13 +46,13 @@
     Parameters
     ----------
     stop_estimate : float
-        Drain, reboot and check of one VM as expected; no stop is begun closer
-        to the end of the window than this.
+        Expected time for drain, reboot and check of one VM; no stop begins
+        closer to the end of the window than this.
     return_within : float
-        A VM that is not back this long after its reboot was committed is
+        A VM that has not returned this long after its reboot was committed is
         reported as down and counts as an unplanned loss.
     reboot_retry : float
-        A reboot that shows no effect is asked for again after this long.
+        Time after which a reboot without effect is requested again.
     """
 
     stop_estimate: float = 300.0
@@ -65,7 +65,7 @@
 
 
 class Snapshot(NamedTuple):
-    """All that a decision of the fleet is made from.
+    """State of the fleet on which its decisions are based.
 
     Parameters
     ----------
@@ -78,13 +78,13 @@
     daemons : tuple of DaemonRow
         The daemons' rows as of table revision ``daemons_revision``.
     drain_seen_at : mapping of str to float
-        When the drain of each VM was first seen, seconds on the table's clock.
-        Not the row's ``since``: a commit whose answer was lost may take effect
-        long after the time that is written in it.
+        When the drain of each VM was first observed, seconds on the table's
+        clock. The row's ``since`` is unsuitable: a commit whose answer was lost
+        may take effect long after the time that it contains.
     limits : Limits
         Limits of planned stops.
     confirmation_limits : confirmation.Limits
-        When a silent daemon can no longer hold a request.
+        Times after which a silent daemon can no longer hold a request.
     """
 
     view: state.FleetView
@@ -136,25 +136,24 @@
 def set_state(
     row: state.VmRow, to: VmState, snapshot: Snapshot, **fields: object
 ) -> state.VmRow:
-    """Return ``row`` in another state from now on."""
+    """Return ``row`` with a new state, entered now."""
     return row._replace(state=to, since=snapshot.observation.now, **fields)
 
 
 def list_done_waves(row: state.VmRow, snapshot: Snapshot) -> tuple[str, ...]:
-    """Return the waves done with a VM, without those the document dropped."""
-    kept = {wave.name for wave in snapshot.document.waves}
-    done = {name for name in row.done if name in kept}
+    """Return the waves that are done with a VM and still in the document."""
+    current = {wave.name for wave in snapshot.document.waves}
+    done = {name for name in row.done if name in current}
     if row.boot != state.NO_BOOT:
         done.add(row.wave)
     return tuple(sorted(done))
 
 
 def advance(snapshot: Snapshot) -> tuple[list[change.Change], dict[str, str]]:
-    """Return the next step of every VM under a planned stop, and what waits.
+    """Return the next step of each VM under a planned stop, and why others wait.
 
-    Made for many stops at once while VMs fail: stops that have not begun are
-    given back until the pool is within its budget again, before any reboot of
-    that pool is allowed.
+    When VMs fail during many stops, draining VMs are given back until their
+    pool is within its budget again, before any further reboot in that pool.
     """
     budgets = snapshot.measure_budgets()
     waves = {wave.name: wave for wave in snapshot.document.waves}
@@ -178,10 +177,10 @@
 
 
 def is_leaving(snapshot: Snapshot, row: state.VmRow) -> bool:
-    """Tell whether a VM must be taken out because the platform removes it.
+    """Return whether a VM must be marked down because the platform removes it.
 
-    Its row then says ``down``, so every daemon stops sending to it within
-    seconds of the change, although most of them read the VM list seldom.
+    All daemons follow the VM rows, so they stop sending to a VM within seconds
+    after its row says ``down``, whereas they rarely read the VM list.
     """
     machine = snapshot.observation.machines.get(row.vm)
     leaving = machines.MachineState.LEAVING
@@ -190,9 +189,9 @@
 
 
 def give_back(row: state.VmRow, snapshot: Snapshot, why: str) -> change.Change:
-    """Return the change that ends a drain and returns the budget."""
-    new = set_state(row, VmState.UP, snapshot, wave="", target="")
-    return change.Change(Step.GIVE_BACK, new, why)
+    """Return the change that cancels a drain and frees its share of the budget."""
+    new_row = set_state(row, VmState.UP, snapshot, wave="", target="")
+    return change.Change(Step.GIVE_BACK, new_row, why)
 
 
 def advance_drain(
@@ -201,15 +200,15 @@
     waves: Mapping[str, document.Wave],
     budgets: dict[str, budget.Budget],
 ) -> tuple[change.Change | None, str]:
-    """Decide about a VM whose drain has begun: give back, wait or stop it."""
-    seen = snapshot.observation
-    if row.vm not in seen.machines and seen.as_of > row.since:
+    """Decide whether a draining VM is given back, waits or is stopped."""
+    observation = snapshot.observation
+    if row.vm not in observation.machines and observation.as_of > row.since:
         return mark_down(snapshot, row, "left the platform's list while draining"), ""
-    closed = tell_closed(snapshot, waves.get(row.wave)) if row.wave else ""
+    closed_reason = tell_closed(snapshot, waves.get(row.wave)) if row.wave else ""
     if row.target and row.target not in budgets:
-        closed = f"pool {row.target} is not in the accepted document"
-    if closed:
-        return give_back(row, snapshot, closed), ""
+        closed_reason = f"pool {row.target} is not in the accepted document"
+    if closed_reason:
+        return give_back(row, snapshot, closed_reason), ""
     pool = budgets.get(row.pool)
     if pool and pool.spare < 0:
         return advance_under_budget(snapshot, row, pool, budgets)
@@ -217,9 +216,11 @@
     if snapshot.daemons_revision < row.version:
         return None, "drain: daemons' rows not read since it began"
     if unconfirmed:
-        names = (f"daemon {item.daemon} {item.why.value}" for item in unconfirmed)
-        return None, f"drain: {', '.join(names)}"
-    if seen.as_of < row.since:
+        reasons = (
+            f"daemon {waiting.daemon} {waiting.why.value}" for waiting in unconfirmed
+        )
+        return None, f"drain: {', '.join(reasons)}"
+    if observation.as_of < row.since:
         return None, "platform's VM list is older than the drain"
     return stop_drained(snapshot, row), ""
 
@@ -229,11 +230,11 @@
 ) -> tuple[confirmation.Waiting, ...]:
     """Return the daemons that may still hold a request on a draining VM.
 
-    An entry VM counts as gone when a list that is newer than the validity of
-    every daemon row on it no longer names it: the list lags, so an older one
-    may be from before the VM was there.
+    An entry VM counts as gone if it is missing from a list that is newer than
+    the expiry of every daemon row on it. The list lags, so an older one may
+    predate the VM.
     """
-    seen = snapshot.observation
+    observation = snapshot.observation
     expires: dict[str, float] = {}
     for daemon in snapshot.daemons:
         last = expires.get(daemon.vm, daemon.expires)
@@ -241,14 +242,14 @@
     gone = {
         vm
         for vm, last in expires.items()
-        if vm not in seen.machines and seen.as_of > last
+        if vm not in observation.machines and observation.as_of > last
     }
     return confirmation.find_waiting(
         row.vm,
         row.version,
         snapshot.daemons,
-        now=seen.now,
-        drained_at=snapshot.drain_seen_at.get(row.vm, seen.now),
+        now=observation.now,
+        drained_at=snapshot.drain_seen_at.get(row.vm, observation.now),
         gone_vms=gone,
         limits=snapshot.confirmation_limits,
     )
@@ -260,9 +261,9 @@
     pool: budget.Budget,
     budgets: dict[str, budget.Budget],
 ) -> tuple[change.Change | None, str]:
-    """Give a drained VM back to a pool that has fallen under its budget.
+    """Give a draining VM back to a pool that has fallen below its budget.
 
-    A VM that does not serve would not help the pool; its stop waits.
+    A VM that is not serving would not help the pool, so its stop waits instead.
     """
     text = f"budget of pool {row.pool}: {len(pool.up)} up, {pool.required} must be up"
     if not snapshot.observation.is_serving(row.vm):
@@ -272,42 +273,42 @@
 
 
 def stop_drained(snapshot: Snapshot, row: state.VmRow) -> change.Change:
-    """Return the change of a VM that no daemon uses any more."""
+    """Return the change that reboots or moves a fully drained VM."""
     if row.target:
-        new = set_state(row, VmState.UP, snapshot, pool=row.target, target="")
-        return change.Change(Step.ARRIVE, new, f"moved from pool {row.pool}")
+        new_row = set_state(row, VmState.UP, snapshot, pool=row.target, target="")
+        return change.Change(Step.ARRIVE, new_row, f"moved from pool {row.pool}")
     boot = snapshot.observation.machines[row.vm].boot
-    new = set_state(row, VmState.REBOOTING, snapshot, boot=boot)
-    return change.Change(Step.REBOOT, new, f"drained at {row.version}, boot {boot}")
+    new_row = set_state(row, VmState.REBOOTING, snapshot, boot=boot)
+    return change.Change(Step.REBOOT, new_row, f"drained at {row.version}, boot {boot}")
 
 
 def mark_down(snapshot: Snapshot, row: state.VmRow, why: str) -> change.Change:
-    """Return the change that reports a VM as lost; the wave goes on without it."""
-    new = set_state(
+    """Return the change that marks a VM down; its wave continues without it."""
+    new_row = set_state(
         row, VmState.DOWN, snapshot, target="", done=list_done_waves(row, snapshot)
     )
-    return change.Change(Step.LOSE, new, why)
+    return change.Change(Step.LOSE, new_row, why)
 
 
 def advance_stopped(
     snapshot: Snapshot, row: state.VmRow
 ) -> tuple[change.Change | None, str]:
-    """Decide about a VM that was told to reboot, or is down."""
-    seen = snapshot.observation
-    machine = seen.machines.get(row.vm)
+    """Decide the next step of a VM that is rebooting, being checked or down."""
+    observation = snapshot.observation
+    machine = observation.machines.get(row.vm)
     has_booted = machine is not None and machine.boot > row.boot
-    if row.state is VmState.REBOOTING and has_booted and seen.is_live(row.vm):
-        new = set_state(row, VmState.CHECKING, snapshot)
-        return change.Change(Step.CHECK, new, f"boot {machine.boot}"), ""
-    is_asked = row.state is VmState.REBOOTING
-    if not is_asked and has_booted and seen.is_serving(row.vm):
+    if row.state is VmState.REBOOTING and has_booted and observation.is_live(row.vm):
+        new_row = set_state(row, VmState.CHECKING, snapshot)
+        return change.Change(Step.CHECK, new_row, f"boot {machine.boot}"), ""
+    is_rebooting = row.state is VmState.REBOOTING
+    if not is_rebooting and has_booted and observation.is_serving(row.vm):
         done = list_done_waves(row, snapshot)
-        new = set_state(
+        new_row = set_state(
             row, VmState.UP, snapshot, wave="", boot=state.NO_BOOT, done=done
         )
-        return change.Change(Step.RETURN, new, "health check passed"), ""
+        return change.Change(Step.RETURN, new_row, "health check passed"), ""
     text = f"{row.state.value}: boot {row.boot} or health check not passed yet"
-    is_late = seen.now - row.since > snapshot.limits.return_within
+    is_late = observation.now - row.since > snapshot.limits.return_within
     if row.state is not VmState.DOWN and is_late:
         return mark_down(
             snapshot, row, f"not back within {snapshot.limits.return_within} s"
@@ -316,14 +317,15 @@
 
 
 def find_pending_reboots(snapshot: Snapshot) -> list[state.VmRow]:
-    """Return the VMs whose committed reboot shows no effect yet.
+    """Return the VMs whose committed reboot has not taken effect yet.
 
-    Asking again is harmless: the platform reboots only at this boot number.
+    The request can be repeated safely: the platform reboots a VM only if its
+    boot number is the one in the request.
     """
     stopped = (VmState.REBOOTING, VmState.DOWN)
-    found = []
+    pending = []
     for row in snapshot.view.vms.values():
         machine = snapshot.observation.machines.get(row.vm)
         if row.state in stopped and machine and machine.boot == row.boot:
-            found.append(row)
-    return found
+            pending.append(row)
+    return pending
