--- a/wigeonhitch/fleet/demand.py
+++ b/wigeonhitch/fleet/demand.py
@@ -1,10 +1,10 @@
-"""Demand: the sizes that pools should have when load shifts between them.
+"""Demand: size changes of pools when load shifts between them.
 
-Two ways stand side by side. `decide_by_threshold` follows the load at once.
-`decide_with_hysteresis` asks for more only after the load has stayed above an upper
-threshold for some time, and gives back only after it has stayed below a lower
-one for longer; this is the idea of "Adaptive Tasklist Scaler" (Zijian Chen,
-Uber). `docs/design/planner.md` compares them on the same load trace.
+There are two policies. `decide_by_threshold` reacts to the load immediately.
+`decide_with_hysteresis` grows a pool only after its load has stayed above an
+upper threshold for some time, and shrinks it only after the load has stayed
+below a lower threshold for longer, as in "Adaptive Tasklist Scaler" (Zijian
+Chen, Uber). `docs/design/planner.md` compares both on the same load trace.
 
 The result is a target size per pool for `wigeonhitch.fleet.move`, whose
 budgets and drains apply to these moves as to any other.
@@ -17,19 +17,19 @@
 
 
 class Limits(NamedTuple):
-    """Thresholds on the busy share of a pool's slots, and times in seconds.
+    """Thresholds on the busy share of a pool's slots, and delays in seconds.
 
     Parameters
     ----------
     upper : float
         Above this share a pool needs another VM: queues grow steeply beyond
-        it, as the wait measurements of routing show for 90 %.
+        it, as the measured waiting times of routing show for 90 %.
     lower_factor : float
         A pool gives a VM only if its share without that VM would stay below
-        ``upper`` times this factor, so that giving cannot cause asking.
+        ``upper`` times this factor, so that it does not need the VM back.
     scale_up_delay, scale_down_delay : float
-        How long the load must stay beyond the threshold. Down takes longer:
-        a missing VM harms callers, a spare one costs only money.
+        Seconds for which the load must stay beyond the threshold. Scaling down
+        takes longer: a missing VM delays callers, a spare one only costs money.
     """
 
     upper: float = 0.75
@@ -39,7 +39,7 @@
 
 
 class Load(NamedTuple):
-    """Load of a pool: busy slots, slots per VM, VMs, and its least size."""
+    """Load of a pool: busy slots, slots per VM, VMs, and minimum number of VMs."""
 
     busy: float
     slots: int
@@ -48,32 +48,34 @@
 
 
 class Trend(NamedTuple):
-    """Since when a pool's load has been beyond a threshold; None when not."""
+    """Times since which a pool's load has been beyond a threshold; None if not."""
 
     above: float | None = None
     below: float | None = None
 
 
 def is_above(load: Load, limits: Limits) -> bool:
-    """Tell whether a pool's load asks for another VM."""
+    """Return whether a pool's load requires another VM."""
     return load.busy > limits.upper * load.slots * load.vms
 
 
 def is_below(load: Load, limits: Limits, factor: float) -> bool:
-    """Tell whether a pool could do with one VM less."""
-    rest = load.vms - 1
-    return rest >= load.min_vms and load.busy < (
-        limits.upper * factor * load.slots * rest
+    """Return whether a pool's load could be served with one VM less."""
+    remaining = load.vms - 1
+    return remaining >= load.min_vms and load.busy < (
+        limits.upper * factor * load.slots * remaining
     )
 
 
-def pair_pools(needs: list[tuple[float, str]], gives: list[tuple[float, str]]) -> dict:
-    """Return size changes that pair the fullest pools with the emptiest."""
+def pair_pools(
+    receivers: list[tuple[float, str]], donors: list[tuple[float, str]]
+) -> dict:
+    """Return size changes that pair the busiest with the least busy pools."""
     changes: dict[str, int] = {}
-    pairs = zip(sorted(needs, reverse=True), sorted(gives), strict=False)
-    for (_, needy), (_, giver) in pairs:
-        changes[needy] = 1
-        changes[giver] = -1
+    pairs = zip(sorted(receivers, reverse=True), sorted(donors), strict=False)
+    for (_, receiver), (_, donor) in pairs:
+        changes[receiver] = 1
+        changes[donor] = -1
     return changes
 
 
@@ -83,22 +85,22 @@
 
 
 def decide_by_threshold(loads: Mapping[str, Load], limits: Limits) -> dict[str, int]:
-    """Return by how many VMs pools should grow or shrink, following at once.
+    """Return size changes that follow the load immediately.
 
-    The baseline: one threshold both ways, no memory.
+    The baseline: one threshold for both directions, and no state.
     """
-    needs = [(busy_share(load), name) for name, load in loads.items()]
-    needs = [pair for pair in needs if is_above(loads[pair[1]], limits)]
-    gives = [
+    receivers = [(busy_share(load), name) for name, load in loads.items()]
+    receivers = [pair for pair in receivers if is_above(loads[pair[1]], limits)]
+    donors = [
         (busy_share(load), name)
         for name, load in loads.items()
         if is_below(load, limits, 1.0)
     ]
-    return pair_pools(needs, gives)
+    return pair_pools(receivers, donors)
 
 
 def update_trend(trend: Trend, load: Load, limits: Limits, now: float) -> Trend:
-    """Return the trend of a pool after one more look at its load."""
+    """Return the trend of a pool after one more observation of its load."""
     above = trend.above if trend.above is not None else now
     below = trend.below if trend.below is not None else now
     return Trend(
@@ -113,28 +115,29 @@
     limits: Limits,
     now: float,
 ) -> tuple[dict[str, int], dict[str, Trend]]:
-    """Return size changes, and the trends to pass in at the next look.
+    """Return size changes, and the trends to pass to the next call.
 
-    Made for loads that flicker around a threshold and for short bursts: a
-    move costs a drain and a warm-up, so a burst shorter than ``scale_up_delay`` is
-    left to the queue. A VM is taken only from a pool that has been below the
-    lower threshold for ``scale_down_delay``, or, when none has, from one that is below
-    it now: a sustained need outweighs the caution about giving.
+    Handles loads that oscillate around a threshold, and short bursts: a move
+    costs a drain and a warm-up, so the queue absorbs a burst that is shorter
+    than ``scale_up_delay``. A VM is taken from a pool that has been below the
+    lower threshold for ``scale_down_delay`` or, if there is none, from one that
+    is currently below it: a sustained need takes precedence over that delay.
     """
-    followed = {
+    new_trends = {
         name: update_trend(trends.get(name, Trend()), load, limits, now)
         for name, load in loads.items()
     }
-    needs = []
-    gives = []
-    for name, trend in followed.items():
+    receivers = []
+    donors = []
+    for name, trend in new_trends.items():
         if trend.above is not None and now - trend.above >= limits.scale_up_delay:
-            needs.append((busy_share(loads[name]), name))
+            receivers.append((busy_share(loads[name]), name))
         if trend.below is not None:
-            is_settled = now - trend.below >= limits.scale_down_delay
-            # Settled pools sort first: their share is below that of others.
-            gives.append((busy_share(loads[name]) - float(is_settled), name))
-    changes = pair_pools(needs, gives)
+            has_waited = now - trend.below >= limits.scale_down_delay
+            # Pools past the delay sort first: subtracting 1 puts their share
+            # below that of all others.
+            donors.append((busy_share(loads[name]) - float(has_waited), name))
+    changes = pair_pools(receivers, donors)
     for name in changes:
-        followed[name] = Trend()
-    return changes, followed
+        new_trends[name] = Trend()
+    return changes, new_trends
--- a/wigeonhitch/fleet/planner.py
+++ b/wigeonhitch/fleet/planner.py
@@ -1,10 +1,10 @@
-"""Planner: what a wave will cost, options compared, pools spread over a period.
+"""Planner: cost of a wave, comparison of options, schedule of pools over a period.
 
-Three measures are given, each beside a lower bound that no order of stops can
-beat:
+Each of three measures is given together with a lower bound that holds for any
+order of stops:
 
 ============ =================================== ============================
-measure      counted as                          lower bound
+measure      definition                          lower bound
 ============ =================================== ============================
 buffer       VMs beyond those that must be up    the largest planned loss
 roll-out     seconds until the last VM is back   VMs / parallel stops * stop
@@ -22,7 +22,7 @@
 __all__ = ["Demand", "Measures", "Option", "Plan", "PoolPlan", "bound_rollout"]
 __all__ += ["compare", "plan_wave", "schedule"]
 
-DAY = 86_400.0
+DAY_SECONDS = 86_400.0
 
 
 class Measures(NamedTuple):
@@ -34,16 +34,16 @@
 
 
 class Option(NamedTuple):
-    """One way to hold spare capacity, with its measures and weighted score.
+    """A way to hold spare capacity, with its measures and weighted score.
 
     Parameters
     ----------
     name : str
         ``"per pool"`` or ``"shared n"``.
     measures, bounds : Measures
-        What it costs, and the least that any way costs.
+        Cost of the option, and lower bounds over all options.
     score : float
-        Weighted mean of measure over bound; 1 is the best possible.
+        Weighted mean of each measure over its bound; 1 is the best possible.
     """
 
     name: str
@@ -53,14 +53,14 @@
 
 
 class Demand(NamedTuple):
-    """A pool as the comparison sees it: VMs that must be up, and its kind."""
+    """Input of the comparison: a pool and the number of its VMs that must be up."""
 
     pool: str
     required: int
 
 
 class PoolPlan(NamedTuple):
-    """Part of a wave in one pool; ``order`` lists its VMs as they will stop."""
+    """Part of a wave in one pool; ``order`` lists its VMs in the order of stops."""
 
     pool: str
     order: tuple[str, ...]
@@ -77,15 +77,15 @@
     wave : str
         Name of the wave.
     pools : tuple of PoolPlan
-        What happens in each pool.
+        The part of the wave in each pool.
     measures, bounds : Measures
-        Estimates for this wave beside their lower bounds.
+        Estimates for this wave, and their lower bounds.
     score : float
         Weighted by the weights of the document.
     fits : bool
-        Whether the roll-out fits into what is left of the window.
+        Whether the roll-out fits into the rest of the window.
     problems : tuple of str
-        Why parts of the wave cannot run at all as things are.
+        Reasons why parts of the wave cannot run with the current document.
     """
 
     wave: str
@@ -102,7 +102,7 @@
 ) -> float:
     """Return the weighted mean of each measure over its lower bound.
 
-    One is added to moves and their bound, which may be zero.
+    One is added to the moves and to their bound, which may be zero.
     """
     ratios = (
         measures.buffer / max(bounds.buffer, 1),
@@ -114,21 +114,21 @@
 
 
 def bound_rollout(parts: Iterable[tuple[int, int]], stop: float) -> float:
-    """Return the least roll-out of pools stopped side by side, in seconds.
+    """Return a lower bound of the roll-out over parallel pools, in seconds.
 
     Parameters
     ----------
     parts : iterable of tuple of int
-        VMs and allowed parallel stops of each pool.
+        Number of VMs and of allowed parallel stops of each pool.
     stop : float
-        Seconds of one stop.
+        Duration of one stop, seconds.
 
     Examples
     --------
     >>> bound_rollout([(6, 1), (12, 3)], 100.0)
     600.0
     """
-    return max((vms / max(at_once, 1) * stop for vms, at_once in parts), default=0.0)
+    return max((vms / max(parallel, 1) * stop for vms, parallel in parts), default=0.0)
 
 
 def compare(
@@ -139,45 +139,52 @@
     weights: document.Weights,
     max_shared: int = 8,
 ) -> tuple[Option, ...]:
-    """Return the ways to hold spare VMs of one kind, best score first.
+    """Return the options to hold spare VMs of one kind, best score first.
 
-    Made before a fleet is sized: every pool gets a spare VM of its own, or
-    all share a few that pass from pool to pool. The bound of the roll-out is
-    that of the fastest option, so that a small buffer shows what it costs.
+    Used to size a fleet: either each pool has a spare VM of its own, or all
+    pools share a few spare VMs that move from pool to pool. The roll-out bound of
+    every option is that of the fastest one, so that the score of a small buffer
+    reflects its longer roll-out.
 
     Parameters
     ----------
     demands : sequence of Demand
         Pools of one kind.
     stop, drain : float
-        Seconds of one stop, and of the drain before a move.
+        Duration of one stop, and of the drain before a move, seconds.
     weights : Weights
-        Of the document.
+        Weights of the measures in the document.
     max_shared : int
-        Largest shared buffer to look at.
+        Size of the largest shared buffer that is compared.
     """
-    lengths = [(demand.required + 1, 1) for demand in demands]
-    fastest = bound_rollout(lengths, stop)
-    found = [("per pool", Measures(len(demands), fastest, 0))]
-    works = sorted((demand.required * stop + drain for demand in demands), reverse=True)
+    parts = [(demand.required + 1, 1) for demand in demands]
+    fastest = bound_rollout(parts, stop)
+    candidates = [("per pool", Measures(len(demands), fastest, 0))]
+    durations = sorted(
+        (demand.required * stop + drain for demand in demands), reverse=True
+    )
     for size in range(1, min(max_shared, len(demands)) + 1):
-        lanes = [stop] * size
-        for work in works:
-            lanes[lanes.index(min(lanes))] += work
-        found.append((f"shared {size}", Measures(size, max(lanes), len(demands))))
+        finish_times = [stop] * size
+        for duration in durations:
+            finish_times[finish_times.index(min(finish_times))] += duration
+        candidates.append(
+            (f"shared {size}", Measures(size, max(finish_times), len(demands)))
+        )
     bounds = Measures(1, fastest, 0)
     options = [
         Option(name, measures, bounds, compute_score(measures, bounds, weights))
-        for name, measures in found
+        for name, measures in candidates
     ]
     return tuple(sorted(options, key=lambda option: option.score))
 
 
-def plan_pools(snapshot: wave.Snapshot, item: document.Wave) -> list[PoolPlan]:
-    """Return what a wave would do in each of its pools."""
+def plan_pools(snapshot: wave.Snapshot, wave_spec: document.Wave) -> list[PoolPlan]:
+    """Return the part of a wave in each of its pools."""
     pools = {pool.name: pool for pool in snapshot.document.pools}
-    pending: dict[str, list[str]] = {name: [] for name in item.pools if name in pools}
-    for row in batch.list_pending(snapshot, item, snapshot.group_rows()):
+    pending: dict[str, list[str]] = {
+        name: [] for name in wave_spec.pools if name in pools
+    }
+    for row in batch.list_pending(snapshot, wave_spec, snapshot.group_rows()):
         if row.pool in pending:
             pending[row.pool].append(row.vm)
     plans = []
@@ -190,43 +197,43 @@
     return plans
 
 
-def plan_wave(snapshot: wave.Snapshot, item: document.Wave) -> Plan:
-    """Return the dry run of a wave from the fleet as it is.
+def plan_wave(snapshot: wave.Snapshot, wave_spec: document.Wave) -> Plan:
+    """Return the dry run of a wave on the current fleet.
 
     Parameters
     ----------
     snapshot : Snapshot
-        The fleet; health checks are not needed.
-    item : Wave
+        State of the fleet; health checks are not needed.
+    wave_spec : Wave
         The wave, started or not.
     """
     stop = snapshot.limits.stop_estimate
-    plans = plan_pools(snapshot, item)
+    plans = plan_pools(snapshot, wave_spec)
     borrowers = [plan for plan in plans if plan.borrows]
-    lenders, problems = count_lendable(snapshot, borrowers)
-    own = max((plan.rollout for plan in plans if not plan.borrows), default=0.0)
-    lent = sum(plan.rollout + stop for plan in borrowers) / max(lenders, 1)
+    lendable, problems = count_lendable(snapshot, borrowers)
+    own_rollout = max((plan.rollout for plan in plans if not plan.borrows), default=0.0)
+    lent_rollout = sum(plan.rollout + stop for plan in borrowers) / max(lendable, 1)
     sizes = {pool.name: pool.size for pool in snapshot.document.pools}
     deficits = move.measure_imbalance(sizes, snapshot.view.vms.values()).deficits
     bounds = Measures(
         1 if any(plan.order for plan in plans) else 0,
         max(
             bound_rollout(((len(p.order), p.parallel) for p in plans), stop),
-            bound_rollout([(sum(len(p.order) for p in borrowers), lenders)], stop),
+            bound_rollout([(sum(len(p.order) for p in borrowers), lendable)], stop),
         ),
         sum(deficits.values()) + len(borrowers),
     )
     spare = sum(plan.parallel for plan in plans if not plan.borrows and plan.order)
     moves = sum(deficits.values()) + len(borrowers)
-    measures = Measures(spare + lenders, max(own, lent), moves)
-    start = max(snapshot.observation.now, item.window.start)
+    measures = Measures(spare + lendable, max(own_rollout, lent_rollout), moves)
+    start = max(snapshot.observation.now, wave_spec.window.start)
     return Plan(
-        item.name,
+        wave_spec.name,
         tuple(plans),
         measures,
         bounds,
         compute_score(measures, bounds, snapshot.document.weights),
-        start + measures.rollout <= item.window.end,
+        start + measures.rollout <= wave_spec.window.end,
         tuple(problems),
     )
 
@@ -234,9 +241,9 @@
 def count_lendable(
     snapshot: wave.Snapshot, borrowers: Iterable[PoolPlan]
 ) -> tuple[int, list[str]]:
-    """Return how many VMs buffer pools can lend, and which pools get none."""
+    """Return how many VMs buffer pools can lend, and problems of unserved pools."""
     pools = {pool.name: pool for pool in snapshot.document.pools}
-    lenders = {
+    lendable = {
         pool.kind: pool.size
         for pool in pools.values()
         if pool.size and not budget.required(pool)
@@ -245,57 +252,59 @@
     problems = [
         f"pool {plan.pool} has no spare VM and no buffer pool lends one"
         for plan in borrowers
-        if not lenders.get(pools[plan.pool].kind)
+        if not lendable.get(pools[plan.pool].kind)
     ]
-    return sum(lenders.get(kind, 0) for kind in kinds), problems
+    return sum(lendable.get(kind, 0) for kind in kinds), problems
 
 
 def schedule(
-    works: Mapping[str, float],
+    rollouts: Mapping[str, float],
     *,
     start: float,
     period: float,
-    opens: float,
-    length: float,
+    window_offset: float,
+    window_length: float,
 ) -> dict[str, document.Window]:
-    """Return a window for each pool, all of them within the period.
+    """Return a maintenance window for each pool within the period.
 
-    Made for 128 pools that must each be maintained once in four weeks: pools
-    are spread evenly over the days, longest first onto the emptiest day, so
-    that as few pools as possible are without their spare VM at one time.
-    Within a day the windows of its pools lie one after the other.
+    Sized for 128 pools that must each be maintained once in four weeks. Pools
+    are assigned in order of decreasing roll-out to the least used day, so that
+    as few pools as possible are without their spare VM at the same time. The
+    windows of one day follow one another.
 
     Parameters
     ----------
-    works : mapping of str to float
+    rollouts : mapping of str to float
         Expected roll-out of each pool, seconds.
     start, period : float
-        Begin of the first day and length of the period, seconds.
-    opens, length : float
-        Begin of a day's window after midnight and its length, seconds.
+        Start of the first day and length of the period, seconds.
+    window_offset, window_length : float
+        Start of each day's window relative to the start of the day, and its
+        length, seconds.
 
     Raises
     ------
     ValueError
-        If a day's pools do not fit into its window.
+        If the pools of a day do not fit into its window.
 
     Examples
     --------
-    >>> schedule({"a": 60.0, "b": 50.0}, start=0.0, period=2 * DAY,
-    ...          opens=0.0, length=100.0)["b"].start
+    >>> schedule({"a": 60.0, "b": 50.0}, start=0.0, period=2 * DAY_SECONDS,
+    ...          window_offset=0.0, window_length=100.0)["b"].start
     86400.0
     """
-    days = int(period // DAY)
-    used = [0.0] * days
+    days = int(period // DAY_SECONDS)
+    used_seconds = [0.0] * days
     windows = {}
-    for pool, work in sorted(works.items(), key=lambda pair: (-pair[1], pair[0])):
-        day = used.index(min(used))
-        if used[day] + work > length:
+    for pool, rollout in sorted(rollouts.items(), key=lambda pair: (-pair[1], pair[0])):
+        day = used_seconds.index(min(used_seconds))
+        if used_seconds[day] + rollout > window_length:
             raise ValueError(
-                f"pool {pool} needs {work:.0f} s; the emptiest of {days} days has "
-                f"{length - used[day]:.0f} s left, expected a longer window"
+                f"pool {pool} needs {rollout:.0f} s; the emptiest of {days} days has "
+                f"{window_length - used_seconds[day]:.0f} s left, "
+                "expected a longer window"
             )
-        begin = start + day * DAY + opens + used[day]
-        used[day] += work
-        windows[pool] = document.Window(begin, begin + work)
+        window_start = start + day * DAY_SECONDS + window_offset + used_seconds[day]
+        used_seconds[day] += rollout
+        windows[pool] = document.Window(window_start, window_start + rollout)
     return windows
--- a/wigeonhitch/fleet/tests/test_decisions.py
+++ b/wigeonhitch/fleet/tests/test_decisions.py
@@ -184,13 +184,23 @@
 def test_schedule_gives_every_pool_a_window_in_four_weeks():
     works = {f"p{number}": 7 * 300.0 for number in range(128)}
     windows = planner.schedule(
-        works, start=0.0, period=28 * planner.DAY, opens=7200.0, length=14400.0
+        works,
+        start=0.0,
+        period=28 * planner.DAY_SECONDS,
+        window_offset=7200.0,
+        window_length=14400.0,
     )
     assert len(windows) == 128
-    days = [int(window.start // planner.DAY) for window in windows.values()]
+    days = [int(window.start // planner.DAY_SECONDS) for window in windows.values()]
     assert max(days.count(day) for day in range(28)) == 5
     with pytest.raises(ValueError, match="longer window"):
-        planner.schedule({"a": 2.0}, start=0, period=planner.DAY, opens=0, length=1.0)
+        planner.schedule(
+            {"a": 2.0},
+            start=0,
+            period=planner.DAY_SECONDS,
+            window_offset=0,
+            window_length=1.0,
+        )
 
 
 def test_weights_decide_between_a_shared_and_an_own_buffer():
