--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -20,9 +20,9 @@
 from standins.demo import process, site
 from wigeonhitch.membership import lease
 from wigeonhitch.placement import (
+    controller,
     core,
     job,
-    keeper,
     ledger,
     message,
     runner,
@@ -64,9 +64,9 @@
     rows = [table.Row(item.key, job.encode(item), 1) for item in jobs]
     tracemalloc.start()
     subject = core.Core(0, 1)
-    subject.see_policy(view.make_policy(plan))
+    subject.update_policy(view.make_policy(plan))
     vms = placement_mix.make_vms(plan, workers)
-    subject.see_fleet(vms, 0.0)
+    subject.update_fleet(vms, 0.0)
     subject.load(rows)
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -76,13 +76,13 @@
         subject.confirm(batch, 2)
         for call in subject.next_calls(now):
             placed += call.action == "start"
-            subject.answer(call, table.Outcome.DONE, now)
+            subject.record_answer(call, table.Outcome.DONE, now)
     spent = time.process_time() - begin
     held = sum(len(names) for names in subject.state.on_vm.values())
     begin = time.process_time()
     for _ in range(20):
         now += 0.5
-        subject.see_fleet(vms, now)
+        subject.update_fleet(vms, now)
         subject.decide(now)
         subject.next_calls(now)
     idle = (time.process_time() - begin) / 20 * 1000
@@ -126,7 +126,7 @@
     ]
     platform = fake.Fake(machines, usage_lag=USAGE_LAG)
     store = platform.engine.store
-    duty = view.duty_of(0)
+    duty = view.duty_name(0)
     store.commit(
         [table.Condition("d", 0)], [table.Write(f"duty/{duty}", {})], "", platform.now
     )
@@ -146,23 +146,23 @@
     context = message.Platform(
         client, client, OneLease(), lambda: vms, lambda: plan, lambda: platform.now
     )
-    reader = signal.Reader(context, 1)
-    holder = keeper.Keeper(
+    reader = signal.SignalReader(context, 1)
+    holder = controller.ShardController(
         context, reader, 0, lambda *call: waiting.append(call), collections.Counter()
     )
 
     def play(length: float) -> float:
         spent = 0.0
-        for _ in range(int(length / runner.POLL)):
+        for _ in range(int(length / runner.POLL_SECONDS)):
             begin = time.process_time()
             fake.run(reader.read())
-            reader.forget()
+            reader.clear_cache()
             fake.run(holder.step())
             spent += time.process_time() - begin
             for function, *args in waiting:
                 fake.run(function(*args))
             waiting.clear()
-            platform.advance(runner.POLL)
+            platform.advance(runner.POLL_SECONDS)
         return spent
 
     play(20.0)
--- a/benchmarks/placement_ways.py
+++ b/benchmarks/placement_ways.py
@@ -63,12 +63,12 @@
     """The real core, as the keeper drives it."""
 
     def __init__(self, learn: bool = True, wary: bool = True):
-        learner = size.Learner(enabled=learn)
+        learner = size.SizeEstimator(enabled=learn)
         self.core = core.Core(0, 1, learner, quarantine.Quarantine(enabled=wary))
         self.revision = 1
         self.answers: list = []
         self.plan = placement_mix.make_document(1, 10, placement_mix.WORKERS)
-        self.core.see_policy(view.make_policy(self.plan))
+        self.core.update_policy(view.make_policy(self.plan))
 
     def submit(self, asked: job.Submission, now: float) -> None:
         """Hand over a new row."""
@@ -92,9 +92,9 @@
     def step(self, run: Run, now: float) -> None:
         """Decide, commit and call; answers come with the next step."""
         for call, outcome in self.answers:
-            self.core.answer(call, outcome, now)
+            self.core.record_answer(call, outcome, now)
         self.answers = []
-        self.core.see_fleet(run.see_vms(now), now)
+        self.core.update_fleet(run.see_vms(now), now)
         for _ in range(4):
             batch = self.core.decide(now)
             if batch is None:
@@ -106,13 +106,13 @@
 
     def see(self, listed: list[tasks.Task], vms: list[str], now: float) -> None:
         """Take a task list."""
-        self.core.see_tasks(listed, vms, now)
+        self.core.update_tasks(listed, vms, now)
 
     def renew(self, run: Run, now: float) -> None:
         """Renew what the core wants renewed."""
         names = self.core.find_renewals()
         run.scheduler.renew(names, 1, 60.0, now)
-        self.core.answer_renewal(names, table.Outcome.DONE, now)
+        self.core.record_renewal(names, table.Outcome.DONE, now)
 
     @property
     def waiting(self) -> int:
--- a/benchmarks/slope.py
+++ b/benchmarks/slope.py
@@ -28,7 +28,7 @@
 DUTIES = (
     "fleet",
     "sweep",
-    *(placement_view.duty_of(shard) for shard in range(placement_view.SHARDS)),
+    *(placement_view.duty_name(shard) for shard in range(placement_view.SHARDS)),
 )
 
 
--- a/wigeonhitch/daemon/assembly.py
+++ b/wigeonhitch/daemon/assembly.py
@@ -196,7 +196,7 @@
         return [
             *routes.make_routes(self.documents),
             *self.fleet_routes,
-            *placement_routes.Jobs(self.table).build_routes(),
+            *placement_routes.JobRoutes(self.table).build_routes(),
             *status.build_routes(self),
         ]
 
--- a/wigeonhitch/daemon/tests/test_jobs.py
+++ b/wigeonhitch/daemon/tests/test_jobs.py
@@ -81,7 +81,7 @@
         assert {run["state"] for run in self.read_log()} == {"finished"}
 
     def find_holder(self):
-        key = f"duty/{view.duty_of(view.find_shard(POOL))}"
+        key = f"duty/{view.duty_name(view.find_shard(POOL))}"
         url = f"{self.at.platform_url}/table/read"
         answer = httpx.post(url, json={"keys": [key]}, trust_env=False)
         return answer.json()["rows"][0][1]["holder"]
--- a/wigeonhitch/placement/calls.py
+++ b/wigeonhitch/placement/calls.py
@@ -6,7 +6,14 @@
 from wigeonhitch.placement import attempt, job, settle, state
 from wigeonhitch.platform import table, tasks
 
-__all__ = ["Call", "answer", "answer_renewal", "find_renewals", "next_calls", "see"]
+__all__ = [
+    "Call",
+    "record_answer",
+    "record_renewal",
+    "find_renewals",
+    "next_calls",
+    "see",
+]
 
 # A worker that refused a start is left alone for this long: the view of the
 # fleet lags behind the platform by some seconds.
@@ -105,7 +112,7 @@
     return "resume" if present is T.THROTTLED and not entry.throttle else ""
 
 
-def answer(
+def record_answer(
     shard: state.State, call: Call, outcome: table.Outcome | None, now: float
 ) -> None:
     """Take the outcome of a call; None when it was not sent after all."""
@@ -265,7 +272,7 @@
     return found
 
 
-def answer_renewal(
+def record_renewal(
     shard: state.State, renewed: Sequence[str], outcome: table.Outcome, now: float
 ) -> None:
     """Take the outcome of a renewal of tasks."""
--- a/wigeonhitch/placement/keeper.py
+++ b/wigeonhitch/placement/controller.py
@@ -3,7 +3,7 @@
 One task holds the state of a shard. Calls to the task service run beside it
 and report through a memory object stream, so that a slow platform call never
 holds up the next commit. A shard without live jobs reads nothing: the daemon's
-`signal.Reader` says when its markers are to be read.
+`signal.SignalReader` says when its markers are to be read.
 """
 
 import collections
@@ -29,7 +29,7 @@
 from wigeonhitch.platform import table
 from wigeonhitch.telemetry import log
 
-__all__ = ["Keeper"]
+__all__ = ["ShardController"]
 
 PURPOSE = "placement"
 # Usage lags by seconds anyway; 25 workers with four tasks each make 15 KB a
@@ -48,14 +48,14 @@
 Spawn = Callable[..., None]
 
 
-class Keeper:
+class ShardController:
     """Holder of one shard's duty.
 
     Parameters
     ----------
     platform : message.Platform
         Table, tasks, leases and views.
-    reader : signal.Reader
+    reader : signal.SignalReader
         What all shards of the daemon read together.
     shard : int
         Number of this shard.
@@ -68,7 +68,7 @@
     def __init__(
         self,
         platform: message.Platform,
-        reader: signal.Reader,
+        reader: signal.SignalReader,
         shard: int,
         spawn: Spawn,
         counters: collections.Counter[str],
@@ -78,7 +78,7 @@
         self.shard = shard
         self._spawn = spawn
         self._counters = counters
-        self.duty = view.duty_of(shard)
+        self.duty = view.duty_name(shard)
         self.core: core.Core | None = None
         self.fence = 0
         self._since = 0
@@ -171,14 +171,14 @@
         if self.core is None or answer.fence != self.fence:
             return
         if isinstance(answer, message.Answered):
-            self.core.answer(answer.call, answer.outcome, self.now)
+            self.core.record_answer(answer.call, answer.outcome, self.now)
         elif isinstance(answer, message.Renewed):
             self._take_renewal(answer)
         elif answer.result.outcome is table.Outcome.DONE:
-            self.core.see_tasks(answer.result.tasks, answer.vms, answer.at)
+            self.core.update_tasks(answer.result.tasks, answer.vms, answer.at)
 
     def _take_renewal(self, answer: message.Renewed) -> None:
-        self.core.answer_renewal(answer.names, answer.outcome, self.now)
+        self.core.record_renewal(answer.names, answer.outcome, self.now)
         lapsed = self._platform.leases.current(self.duty) is None
         if lapsed and answer.outcome is table.Outcome.NOT_DONE:
             log.log_change("another holder renews the tasks", duty=self.duty)
@@ -218,8 +218,8 @@
             self._document = source
             self._policy = view.make_policy(source)
         if self._policy is not None:
-            self.core.see_policy(self._policy)
-        self.core.see_fleet(self._reader.list_vms(self.shard), self.now)
+            self.core.update_policy(self._policy)
+        self.core.update_fleet(self._reader.list_vms(self.shard), self.now)
         return True
 
     def _is_due(self, what: str, period: float) -> bool:
--- a/wigeonhitch/placement/core.py
+++ b/wigeonhitch/placement/core.py
@@ -50,7 +50,7 @@
         self,
         shard: int,
         fence: int,
-        learner: size.Learner | None = None,
+        learner: size.SizeEstimator | None = None,
         wary: quarantine.Quarantine | None = None,
     ):
         self.state = state.State(shard, fence, learner, wary)
@@ -75,18 +75,18 @@
         else:
             self.state.put(item, row.version)
 
-    def see_fleet(self, vms: Iterable[view.Vm], now: float) -> None:
+    def update_fleet(self, vms: Iterable[view.Vm], now: float) -> None:
         """Take the present view of the workers of the shard's pools."""
-        self.state.see_fleet(vms, now)
+        self.state.update_fleet(vms, now)
 
-    def see_policy(self, policy: view.Policy) -> None:
+    def update_policy(self, policy: view.Policy) -> None:
         """Take the quotas, kinds and pools of the document in force."""
         if policy != self.state.policy:
             self.state.policy = policy
             self.state.unsettled.update(self.state.jobs)
             self.state.dirty.update(self.state.pools)
 
-    def see_tasks(
+    def update_tasks(
         self, listed: Sequence[tasks.Task], vms: Collection[str], at: float
     ) -> None:
         """Take the tasks of ``vms``, asked for at time ``at``."""
@@ -134,18 +134,18 @@
         """Return the task calls to make now, all of committed rows."""
         return calls.next_calls(self.state, now, CALLS)
 
-    def answer(
+    def record_answer(
         self, call: calls.Call, outcome: table.Outcome | None, now: float
     ) -> None:
         """Take the outcome of a call; None when it was not sent after all."""
-        calls.answer(self.state, call, outcome, now)
+        calls.record_answer(self.state, call, outcome, now)
 
     def find_renewals(self) -> list[str]:
         """Return the names of the tasks whose platform leases to renew."""
         return calls.find_renewals(self.state)
 
-    def answer_renewal(
+    def record_renewal(
         self, names: Sequence[str], outcome: table.Outcome, now: float
     ) -> None:
         """Take the outcome of a renewal."""
-        calls.answer_renewal(self.state, names, outcome, now)
+        calls.record_renewal(self.state, names, outcome, now)
--- a/wigeonhitch/placement/routes.py
+++ b/wigeonhitch/placement/routes.py
@@ -7,7 +7,7 @@
 from wigeonhitch.placement import job, ledger, signal, view
 from wigeonhitch.platform import table
 
-__all__ = ["Jobs"]
+__all__ = ["JobRoutes"]
 
 PURPOSE = "jobs"
 # Jobs cancelled by one request, and by one commit: a wave of thousands costs a
@@ -24,7 +24,7 @@
 UNSURE = route.Answer(504, {"error": "unknown whether done: repeat with the same id"})
 
 
-class Jobs:
+class JobRoutes:
     """Handlers of the job routes.
 
     Parameters
--- a/wigeonhitch/placement/runner.py
+++ b/wigeonhitch/placement/runner.py
@@ -5,13 +5,13 @@
 
 import anyio
 
-from wigeonhitch.placement import keeper, message, signal, view
+from wigeonhitch.placement import controller, message, signal, view
 
 __all__ = ["Runner"]
 
 # Urgent work is to start within 1.7 s: half a second to notice a job, and two
 # round trips for the commit and the start, leave a second for a checkpoint.
-POLL = 0.5
+POLL_SECONDS = 0.5
 
 
 class Runner:
@@ -37,15 +37,15 @@
 
     async def run(self) -> None:
         """Run until cancelled; releases the duties on the way out."""
-        duties = [view.duty_of(shard) for shard in range(self._shards)]
+        duties = [view.duty_name(shard) for shard in range(self._shards)]
         for duty in duties:
             self._platform.leases.want(duty)
         try:
             async with anyio.create_task_group() as group:
-                reader = signal.Reader(self._platform, self._shards)
+                reader = signal.SignalReader(self._platform, self._shards)
                 keepers = []
                 for shard in range(self._shards):
-                    holder = keeper.Keeper(
+                    holder = controller.ShardController(
                         self._platform,
                         reader,
                         shard,
@@ -61,7 +61,7 @@
                 self._platform.leases.unwant(duty)
 
     async def _read(
-        self, reader: signal.Reader, keepers: Sequence[keeper.Keeper]
+        self, reader: signal.SignalReader, keepers: Sequence[controller.ShardController]
     ) -> None:
         """Read signals while any duty is held."""
         leases = self._platform.leases
@@ -69,13 +69,15 @@
             if any(leases.current(each.duty) for each in keepers):
                 for shard in await reader.read():
                     keepers[shard].wake()
-            await anyio.sleep(POLL)
+            await anyio.sleep(POLL_SECONDS)
 
 
-async def _wake(reader: signal.Reader, keepers: Sequence[keeper.Keeper]) -> None:
+async def _wake(
+    reader: signal.SignalReader, keepers: Sequence[controller.ShardController]
+) -> None:
     """Wake the keepers; apart from reading, as the table may be slow or down."""
     while True:
-        reader.forget()
+        reader.clear_cache()
         for each in keepers:
             each.wake()
-        await anyio.sleep(POLL)
+        await anyio.sleep(POLL_SECONDS)
--- a/wigeonhitch/placement/signal.py
+++ b/wigeonhitch/placement/signal.py
@@ -6,7 +6,7 @@
 from wigeonhitch.placement import message, view
 from wigeonhitch.platform import table
 
-__all__ = ["PREFIX", "Reader", "make_write"]
+__all__ = ["PREFIX", "SignalReader", "make_write"]
 
 PREFIX = "signal/placement/"
 PURPOSE = "placement"
@@ -26,7 +26,7 @@
     return table.Write(f"{PREFIX}{shard}", {})
 
 
-class Reader:
+class SignalReader:
     """Reads the shards' signals once for all shards of a daemon.
 
     Load: 32 shards on one daemon, most of which have no job. Harm: each that
@@ -66,7 +66,7 @@
         self._since = max(self._since, found.revision)
         return [shard for shard in moved if shard < self._shards]
 
-    def forget(self) -> None:
+    def clear_cache(self) -> None:
         """Look at the workers anew when one is next asked for."""
         self._vms = None
 
--- a/wigeonhitch/placement/size.py
+++ b/wigeonhitch/placement/size.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-__all__ = ["Learner"]
+__all__ = ["SizeEstimator"]
 
 # Enough peaks that the 95th percentile is not just the highest; at 16 bytes a
 # peak and KINDS kinds the whole learner stays under 10 MB.
@@ -39,7 +39,7 @@
     memory: deque
 
 
-class Learner:
+class SizeEstimator:
     """High quantile of peak usage for each kind of job.
 
     Load: declared sizes that are off by up to ten times both ways. Harm: too
@@ -120,7 +120,7 @@
 
         Examples
         --------
-        >>> learner = Learner()
+        >>> learner = SizeEstimator()
         >>> learner.estimate("pairing", 8.0, 32.0)
         (8.0, 32.0)
         >>> for _ in range(8):
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -43,12 +43,12 @@
         self,
         shard: int,
         fence: int,
-        learner: size.Learner | None = None,
+        learner: size.SizeEstimator | None = None,
         wary: quarantine.Quarantine | None = None,
     ):
         self.shard = shard
         self.fence = fence
-        self.learner = learner or size.Learner()
+        self.learner = learner or size.SizeEstimator()
         self.quarantine = wary or quarantine.Quarantine()
         self.jobs: dict[str, attempt.Attempt] = {}
         self.ledger = ledger.Ledger()
@@ -162,7 +162,7 @@
                 if not self.groups[group]:
                     del self.groups[group]
 
-    def see_fleet(self, vms: Iterable[view.Vm], now: float) -> None:
+    def update_fleet(self, vms: Iterable[view.Vm], now: float) -> None:
         """Take the present view of the workers."""
         seen = {vm.vm: vm for vm in vms}
         if seen != self.vms:
--- a/wigeonhitch/placement/tests/conftest.py
+++ b/wigeonhitch/placement/tests/conftest.py
@@ -7,7 +7,7 @@
 from wigeonhitch.configuration import document
 from wigeonhitch.membership import lease
 from wigeonhitch.operators import route
-from wigeonhitch.placement import job, keeper, message, routes, signal, view
+from wigeonhitch.placement import controller, job, message, routes, signal, view
 from wigeonhitch.platform import table
 
 POOL = "batch"
@@ -71,7 +71,7 @@
         self.readers = {}
         self.waiting = collections.defaultdict(list)
         self.counters = collections.Counter()
-        self.jobs = routes.Jobs(self.fake.table, shards=1)
+        self.jobs = routes.JobRoutes(self.fake.table, shards=1)
 
     def fleet(self):
         if self.stale_view is not None:
@@ -94,8 +94,8 @@
                 lambda: self.fake.now,
             )
             queue = self.waiting[daemon]
-            self.readers[daemon] = signal.Reader(platform, shards=1)
-            self.keepers[daemon] = keeper.Keeper(
+            self.readers[daemon] = signal.SignalReader(platform, shards=1)
+            self.keepers[daemon] = controller.ShardController(
                 platform,
                 self.readers[daemon],
                 0,
@@ -106,7 +106,7 @@
 
     def take_duty(self, daemon, freeze_others=False):
         """Let a daemon take the duty over; others notice unless frozen."""
-        duty = view.duty_of(0)
+        duty = view.duty_name(0)
         self.keep(daemon)
         key = f"duty/{duty}"
         store = self.fake.engine.store
@@ -124,7 +124,7 @@
         """Let a daemon decide once, and make its calls unless it is paused."""
         subject = self.keep(daemon)
         fake.run(self.readers[daemon].read())
-        self.readers[daemon].forget()
+        self.readers[daemon].clear_cache()
         fake.run(subject.step())
         if calls:
             self.make_calls(daemon)
--- a/wigeonhitch/placement/tests/test_keeper.py
+++ b/wigeonhitch/placement/tests/test_controller.py
@@ -239,7 +239,7 @@
     for name, (cores, memory) in usage.items():
         seen = core.state.jobs[f"coffee/{name}"].seen
         listed.append(seen._replace(used_cores=cores, used_memory=memory))
-    core.see_tasks(listed, ["w0"], world.fake.now)
+    core.update_tasks(listed, ["w0"], world.fake.now)
     return {(call.action, call.name) for call in core.next_calls(world.fake.now)}
 
 
--- a/wigeonhitch/placement/tests/test_policy.py
+++ b/wigeonhitch/placement/tests/test_policy.py
@@ -158,7 +158,7 @@
 
 
 def test_the_learner_forgets_the_least_used_kinds():
-    learner = size.Learner()
+    learner = size.SizeEstimator()
     for number in range(size.KINDS + 10):
         learner.add_memory(f"kind{number}", 1.0)
     assert learner.estimate("kind0", 8.0, 8.0) == (8.0, 8.0)
--- a/wigeonhitch/placement/view.py
+++ b/wigeonhitch/placement/view.py
@@ -7,7 +7,7 @@
 
 from wigeonhitch.configuration import document
 
-__all__ = ["SHARDS", "Policy", "Vm", "duty_of", "find_shard", "make_policy"]
+__all__ = ["SHARDS", "Policy", "Vm", "duty_name", "find_shard", "make_policy"]
 
 # A shard reads its marker rows twice a second and its usage every 5 s, so S
 # shards cost about 2.4 S reads a second whatever the number of pools: 77 of the
@@ -58,12 +58,12 @@
     return zlib.crc32(pool.encode()) % shards
 
 
-def duty_of(shard: int) -> str:
+def duty_name(shard: int) -> str:
     """Return the name of a shard's duty.
 
     Examples
     --------
-    >>> duty_of(3)
+    >>> duty_name(3)
     'placement/3'
     """
     return f"placement/{shard}"
