--- a/wigeonhitch/site/acceptance.py
+++ b/wigeonhitch/site/acceptance.py
@@ -48,7 +48,7 @@
     async def accept(self, queue: model.Queue, job: model.Job) -> message.Answer:
         """Accept a job, or find that it was accepted before."""
         deadline = http.read_clock() + WHOLE_TIMEOUT
-        change = _plan_rows(queue, job)
+        change = _build_transaction(queue, job)
         lost = False
         while True:
             result = await self._commit(change)
@@ -71,20 +71,20 @@
         return result
 
 
-def _plan_rows(queue: model.Queue, job: model.Job) -> rows.Transaction:
+def _build_transaction(queue: model.Queue, job: model.Job) -> rows.Transaction:
     """Return the writing of a job's rows, in its queue's present pool."""
     kept = job._replace(
         attempts=queue.max_attempts,
         is_advised=queue.advice is not None,
         terms=model.Terms(queue.priority, queue.stretch, queue.objective),
     )
-    place = (pool_record.name_job_part(job.id), job.id)
+    place = (pool_record.get_job_part(job.id), job.id)
     absent = rows.Condition(pool_record.HOLDER_TABLE, *place, 0)
     value = record.write_job(kept, queue.pool, time.time())
     return rows.Transaction(
         (absent,),
         (
             rows.Write(*absent[:3], queue.pool.encode()),
-            rows.Write(pool_record.name_job_table(queue.pool), *place, value),
+            rows.Write(pool_record.get_job_table(queue.pool), *place, value),
         ),
     )
--- a/wigeonhitch/site/desk.py
+++ b/wigeonhitch/site/handler.py
@@ -15,11 +15,11 @@
 from wigeonhitch.site import acceptance, jobrows, message, waiting
 from wigeonhitch.telemetry import log, metric
 
-__all__ = ["Desk"]
+__all__ = ["RequestHandler"]
 
 
-class Desk:
-    """Answers callers' requests on jobs; implements `message.Desk`.
+class RequestHandler:
+    """Answers callers' requests on jobs; implements `message.RequestHandler`.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
         self._acceptance = acceptance.Acceptance(store, is_store_lost)
 
     @property
-    def body_limit(self) -> int:
+    def max_body_bytes(self) -> int:
         """Most bytes of a request's body."""
         catalogue = self._get_catalogue()
         return catalogue.body_limit if catalogue else 0
@@ -193,7 +193,7 @@
         if row.value is not None:
             final = record.read_final(row.value)
             if final is not None:
-                return progress.choose_final(final, row.version, cancelled_at)
+                return progress.resolve_final_state(final, row.version, cancelled_at)
     if found.read.cancelled:
         return model.JobState.CANCELLED
     return model.JobState.RUNNING if noted else model.JobState.QUEUED
--- a/wigeonhitch/site/tests/history.py
+++ b/wigeonhitch/site/tests/history.py
@@ -1,8 +1,9 @@
 """Histories of jobs that are submitted, shown and cancelled while their queue moves.
 
-Plays the real desks of several daemons on simulated time: a queue moves among pools,
-daemons follow late and restart with the newest configuration or the one before, calls
-are lost, slow or carried out seconds late, and final jobs are tidied away.
+Plays the real request handlers of several daemons on simulated time: a queue moves
+among pools, daemons follow late and restart with the newest configuration or the one
+before, calls are lost, slow or carried out seconds late, and final jobs are tidied
+away.
 """
 
 import contextlib
@@ -14,11 +15,11 @@
 import orjson
 
 from wigeonhitch.jobs import model, progress
-from wigeonhitch.leadership.tests import simulated
+from wigeonhitch.leadership.tests import simulation
 from wigeonhitch.platform import http, rows, table
+from wigeonhitch.pool import compaction
 from wigeonhitch.pool import record as pool_record
-from wigeonhitch.pool import tidy
-from wigeonhitch.site import acceptance, catalogue, desk, jobrows, message
+from wigeonhitch.site import acceptance, catalogue, handler, jobrows, message
 from wigeonhitch.telemetry import log, metric
 
 DAEMONS = 4
@@ -61,22 +62,22 @@
         """Pools in which a row of it has been written."""
 
 
-class Life(simulated.Process):
+class Life(simulation.Process):
     """One life of a daemon, as far as it answers callers."""
 
     def __init__(self, world: "World", newest: list[bytes]) -> None:
-        self.offset = world.rng.uniform(0.0, 1000.0)
-        self.follower = catalogue.Follower(simulated.Port(), lambda: None)
+        self.clock_offset = world.rng.uniform(0.0, 1000.0)
+        self.follower = catalogue.Follower(simulation.StoreClient(), lambda: None)
         for one in newest:
             self.follower._take_catalogue(one)
-        self.desk = desk.Desk(
-            simulated.Port(),
+        self.handler = handler.RequestHandler(
+            simulation.StoreClient(),
             lambda: self.follower.catalogue,
             metric.Instruments(),
         )
 
 
-class World(simulated.Schedule):
+class World(simulation.Schedule):
     """Callers, daemons, the store, and what tidies each pool's final jobs."""
 
     def __init__(self, seed: int, plan: Plan | None = None, off: str = "") -> None:
@@ -88,19 +89,19 @@
         self._has_trouble = True
         self._versions = [self._write_configuration(1)]
         self._lives = [Life(self, self._versions) for _ in range(DAEMONS)]
-        self._leaders: list[simulated.Process] = []
+        self._leaders: list[simulation.Process] = []
 
     def play(self, seconds: float) -> list[str]:
         """Play a history to its end; return what went wrong."""
         with self._replace():
             self._succeed_leaders()
             for job in self.jobs.values():
-                self.later(self.rng.uniform(0.0, seconds / 2), self._bring(job))
-            self.later(1.0, self._move)
-            self.later(1.0, self._restart)
+                self.call_later(self.rng.uniform(0.0, seconds / 2), self._bring(job))
+            self.call_later(1.0, self._move)
+            self.call_later(1.0, self._restart)
             self.run_until(self.now + seconds)
             self._has_trouble = False
-            self.later(LATE[1], self._succeed_leaders)
+            self.call_later(LATE[1], self._succeed_leaders)
             # What was late is done, and every daemon has the newest configuration.
             self.run_until(self.now + LATE[1] + 3.0)
             self._check_all_found()
@@ -116,7 +117,7 @@
                 stack.enter_context(mock.patch.object(where, name, value))
 
             put(acceptance, "anyio", self)
-            put(desk, "anyio", self)
+            put(handler, "anyio", self)
             put(http, "read_clock", lambda: self.read_clock(self._current))
             put(log, "log_change", lambda *given, **named: None)
             if self.off:
@@ -129,16 +130,18 @@
         def bring() -> None:
             self._call(self._submit, job)
             for _ in range(4):
-                self.later(self.rng.uniform(0.1, 12.0), lambda: self._ask(job))
+                self.call_later(self.rng.uniform(0.1, 12.0), lambda: self._ask(job))
             if self.rng.random() < 0.3:
-                self.later(self.rng.uniform(0.5, 6.0), lambda: self._cancel_soon(job))
+                self.call_later(
+                    self.rng.uniform(0.5, 6.0), lambda: self._cancel_soon(job)
+                )
 
         return bring
 
     def _call(self, function: Any, job: Job) -> None:
         """Make a call of a caller at any daemon."""
         life = self.rng.choice(self._lives)
-        self.later(0.0, lambda: self.start_soon(function, life, job), life)
+        self.call_later(0.0, lambda: self.start_soon(function, life, job), life)
 
     def _ask(self, job: Job) -> None:
         self._call(self._show, job)
@@ -150,19 +153,19 @@
     async def _submit(self, life: Life, job: Job) -> None:
         job.tries += 1
         answered = []
-        self.later(3.0, lambda: None if answered else self._retry(job))
-        queue = life.desk.find_queue("h", f"/q/{job.id}")
+        self.call_later(3.0, lambda: None if answered else self._retry(job))
+        queue = life.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             verdict = queue.verdict
         else:
             given = model.Job(job.id, queue.name, "", STEPS)
-            verdict = (await life.desk.submit(queue, given)).verdict
+            verdict = (await life.handler.submit(queue, given)).verdict
         answered.append(verdict)
         job.verdicts.append(verdict)
         if verdict is message.Verdict.ACCEPTED:
             job.is_accepted = True
             if self.rng.random() < 0.5:
-                self.later(self.rng.uniform(0.0, 4.0), lambda: self._again(job))
+                self.call_later(self.rng.uniform(0.0, 4.0), lambda: self._again(job))
         else:
             self._retry(job)
 
@@ -174,14 +177,14 @@
     def _retry(self, job: Job) -> None:
         if len(job.verdicts) < 5 and self.rng.random() < 0.8 and self._has_trouble:
             delay = self.rng.uniform(0.05, 1.0)
-            self.later(delay, lambda: self._call(self._submit, job))
+            self.call_later(delay, lambda: self._call(self._submit, job))
 
     async def _show(self, life: Life, job: Job) -> None:
         accepted, before = job.is_accepted, job.shown
-        queue = life.desk.find_queue("h", f"/q/{job.id}")
+        queue = life.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             return
-        answer = await life.desk.show(queue, job.id)
+        answer = await life.handler.show(queue, job.id)
         if answer.verdict is message.Verdict.MISSING and accepted:
             self._tell(f"{job.id} was accepted and is missing")
         if answer.state is None:
@@ -193,11 +196,11 @@
         job.shown = answer.state
 
     async def _cancel(self, life: Life, job: Job) -> None:
-        queue = life.desk.find_queue("h", f"/q/{job.id}")
+        queue = life.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             return
         job.is_cancelled = True
-        answer = await life.desk.cancel(queue, job.id)
+        answer = await life.handler.cancel(queue, job.id)
         if answer.verdict is message.Verdict.MISSING:
             self._tell(f"{job.id} was accepted and can't be cancelled")
 
@@ -222,23 +225,23 @@
         for life in self._lives:
             delay = self.rng.uniform(0.0, 2.0)
             take = life.follower._take_catalogue
-            self.later(delay, lambda take=take: take(made), life)
-        self.later(self.rng.expovariate(1 / self.plan.moves), self._move)
+            self.call_later(delay, lambda take=take: take(made), life)
+        self.call_later(self.rng.expovariate(1 / self.plan.moves), self._move)
 
     def _restart(self) -> None:
         if not self._has_trouble:
             return
         number = self.rng.randrange(DAEMONS)
-        self._lives[number].is_over = True
+        self._lives[number].is_terminated = True
         newest = self._versions[-2:]
         known = newest[:1] if self.rng.random() < 0.5 else newest[-1:]
         self._lives[number] = life = Life(self, known)
         take = life.follower._take_catalogue
         last = self._versions[-1]
-        self.later(self.rng.uniform(0.2, 2.0), lambda: take(last), life)
-        self.later(self.rng.expovariate(0.5), self._restart)
+        self.call_later(self.rng.uniform(0.2, 2.0), lambda: take(last), life)
+        self.call_later(self.rng.expovariate(0.5), self._restart)
 
-    def draw_way(self, process: Any, call: simulated.Call) -> simulated.Way:
+    def draw_delivery(self, process: Any, call: simulation.Call) -> simulation.Delivery:
         """Return what becomes of a call."""
         odds = 0.06 if self._has_trouble else 0.0
         odds_late = 3 * odds if call.kind == "commit" else 0.0
@@ -249,9 +252,9 @@
         out, back = self.rng.uniform(0.001, slow), self.rng.uniform(0.001, slow)
         if fate == "late":
             out = self.rng.uniform(*LATE)
-        return simulated.Way(fate, out, back)
+        return simulation.Delivery(fate, out, back)
 
-    def is_away(self, process: Any) -> bool:
+    def is_disconnected(self, process: Any) -> bool:
         """Whether a process can't reach the store."""
         return False
 
@@ -260,17 +263,17 @@
     def _succeed_leaders(self) -> None:
         """Have each pool tidied by a new leader."""
         for one in self._leaders:
-            one.is_over = True
-        self._leaders = [simulated.Process() for _ in range(self.plan.pools)]
+            one.is_terminated = True
+        self._leaders = [simulation.Process() for _ in range(self.plan.pools)]
         for number, one in enumerate(self._leaders):
-            self.later(0.0, self._make_leader(f"p{number}"), one)
+            self.call_later(0.0, self._make_leader(f"p{number}"), one)
 
     def _make_leader(self, pool: str) -> Any:
         return lambda: self.start_soon(self._lead, pool, random.Random(self._count))
 
     async def _lead(self, pool: str, rng: random.Random) -> None:
         """Complete the pool's jobs after a while, and tidy their rows."""
-        port, tidier = simulated.Port(), tidy.Tidier(pool)
+        port, tidier = simulation.StoreClient(), compaction.Compactor(pool)
         began: dict[str, float] = {}
         read = [orjson.loads(row.value or b"") for row in self._list_rows(pool)]
         listed = zip(self._list_rows(pool), read, strict=True)
@@ -281,7 +284,7 @@
             await self.sleep(0.25)
             for row in self._list_rows(pool):
                 fields = orjson.loads(row.value or b"")
-                place = tidy.JobPlace(row.table, row.part)
+                place = compaction.RowLocation(row.table, row.part)
                 if "final" in fields:
                     tidier.on_final_row(row.key, place, row.version, fields["finished"])
                     continue
@@ -290,7 +293,7 @@
                     ended = await self._finish(port, pool, row.key, fields)
                     if ended is not None:
                         cancelled_at = row.version if fields.get("cancelled") else 0
-                        state = progress.choose_final(*ended, cancelled_at)
+                        state = progress.resolve_final_state(*ended, cancelled_at)
                         tidier.add(row.key, place, state, row.version, ended[1])
             work = tidier.collect(self.now, KEPT)
             if work is not None:
@@ -303,7 +306,7 @@
                     spent.discard(id)
 
     async def _finish(
-        self, port: simulated.Port, pool: str, id: str, fields: dict[str, Any]
+        self, port: simulation.StoreClient, pool: str, id: str, fields: dict[str, Any]
     ) -> tuple[model.JobState, int] | None:
         """Make a final state durable, as a leader does before it tidies."""
         place = (pool_record.PROGRESS_TABLE, pool, id)
@@ -324,7 +327,7 @@
 
     # -- what is checked
 
-    def on_commit(self, process: Any, call: simulated.Call) -> None:
+    def on_commit(self, process: Any, call: simulation.Call) -> None:
         """Note in which pools there are rows of each job."""
         for row in reversed(self.store.changes):
             if row.version != self.store.version:
@@ -362,8 +365,8 @@
 
 def switch_off(mechanism: str, put: Any) -> None:
     """Take one mechanism out."""
-    plan, find = acceptance._plan_rows, desk.Desk._find
-    remove = tidy.Tidier._remove
+    plan, find = acceptance._build_transaction, handler.RequestHandler._find
+    remove = compaction.Compactor._remove
 
     def plan_unconditionally(*given: Any) -> rows.Transaction:
         return plan(*given)._replace(conditions=())
@@ -382,8 +385,8 @@
         return work._replace(transaction=kept)
 
     if mechanism == "condition":
-        put(acceptance, "_plan_rows", plan_unconditionally)
+        put(acceptance, "_build_transaction", plan_unconditionally)
     elif mechanism == "holder":
-        put(desk.Desk, "_find", find_in_pool)
+        put(handler.RequestHandler, "_find", find_in_pool)
     elif mechanism == "removal":
-        put(tidy.Tidier, "_remove", remove_own_row)
+        put(compaction.Compactor, "_remove", remove_own_row)
