--- a/wigeonhitch/fleet/__init__.py
+++ b/wigeonhitch/fleet/__init__.py
@@ -1,11 +1,11 @@
 """Fleet: pool membership of VMs, drains, maintenance waves, moves and budgets.
 
-`state` holds the rows of the platform's table. `budget`, `wave`, `batch`,
-`move`, `planner` and `demand` decide without input or output. `observer` reads
-what they decide on, `runner` is the task that carries the decisions out under
-the duty ``fleet``, `routes` shows them to operators, and `view` tells the
-request side which workers it may use. When a drained VM may be stopped is
-decided by `wigeonhitch.membership.confirmation`.
+`state` defines the rows of the platform's table. `budget`, `wave`, `batch`,
+`move`, `planner` and `demand` decide without I/O. `observer` reads the input of
+the decisions, `runner` is the task that executes them under the duty ``fleet``,
+`routes` serves them to operators, and `view` lists the workers that may be sent
+requests. `wigeonhitch.membership.confirmation` decides when a drained VM may be
+stopped.
 """
 
 __all__ = [
--- a/wigeonhitch/fleet/observer.py
+++ b/wigeonhitch/fleet/observer.py
@@ -1,10 +1,10 @@
-"""Reading the fleet: table rows, VM list and health checks, made into a snapshot.
+"""Reads the fleet's table rows, VM list and health checks into a snapshot.
 
 An idle round costs one table read (the signal row), whatever the size of the
 fleet, and one VM list every `MAX_LIST_INTERVAL_SECONDS` seconds. A round after a
-change adds one scan per prefix, which returns only rows that changed; a round
-during a drain adds one scan of the daemons' rows. Health checks go to the
-workers of pools that something is about to happen to, and to no others.
+change adds one scan per prefix, which returns only the changed rows; a round
+during a drain adds one scan of the daemons' rows. Health checks are limited to
+workers that the next decisions depend on.
 """
 
 import math
@@ -20,21 +20,22 @@
 
 __all__ = ["HealthCheck", "Observer", "Platform", "list_vms_to_check"]
 
-# Health checks in flight at once; bounds sockets and the burst on the network.
+# Concurrent health checks; bounds the number of sockets and the network burst.
 MAX_PARALLEL_CHECKS = 64
-# Seconds that a worker has to answer a health check.
+# Time within which a worker must answer a health check.
 CHECK_TIMEOUT_SECONDS = 2.0
-# Seconds by which the VM list may lag before no planned stop is begun on it.
+# Maximum lag of the VM list; with an older list no planned stop begins.
 MAX_LIST_LAG_SECONDS = 60.0
 
-# Seconds between VM lists. The list is the largest thing that a round reads,
-# some 130 bytes a VM, but it alone shows that a VM is leaving, which must get no
-# new work within seconds; other daemons read it more seldom and rely on the
-# rows. Of a lost VM the health check tells earlier.
+# Time between readings of the VM list in a large fleet. The list is the largest
+# read of a round, some 130 bytes per VM, but only it shows that a VM is leaving,
+# and such a VM must get no new work within seconds. Other daemons read the list
+# less often and rely on the rows. A lost VM is detected earlier by its health check.
 MAX_LIST_INTERVAL_SECONDS = 5.0
-# The same in a small fleet, where the list is small: seconds at least, and
-# seconds per VM, some 5 KB/s. A stop ends when the list shows the VM's new boot
-# number, so the wait for the list is part of every roll-out.
+# In a small fleet the list is small and is read more often: the minimum time
+# between readings, and the time per VM, which limits the list to some 5 KB/s. A
+# stop ends when the list shows the VM's new boot number, so the wait for the list
+# is part of every roll-out.
 MIN_LIST_INTERVAL_SECONDS = 1.0
 LIST_INTERVAL_SECONDS_PER_VM = 0.025
 
@@ -44,7 +45,7 @@
 
 
 class Platform(NamedTuple):
-    """What the fleet's tasks use of the platform and the workers.
+    """Interfaces of the platform and the workers that the fleet's tasks use.
 
     Parameters
     ----------
@@ -53,9 +54,9 @@
     machines : Machines
         VM list and reboot.
     check_health : callable
-        ``async (address) -> bool`` asks one worker.
+        ``async (address) -> bool`` checks one worker.
     clock : callable
-        Seconds on the clock that counts suspension.
+        Seconds on a clock that includes the time of suspension.
     """
 
     table: table.Table
@@ -65,21 +66,21 @@
 
 
 class Observer:
-    """Keeps a view of the fleet and makes scenes for decisions from it.
+    """Maintains a view of the fleet and builds snapshots for decisions.
 
     Parameters
     ----------
     platform : Platform
-        Where to read.
+        Interfaces from which to read.
     limits : Limits
         Limits of planned stops.
     confirmation_limits : confirmation.Limits
-        When a silent daemon can no longer hold a request.
+        Times after which a silent daemon can no longer hold a request.
 
     Attributes
     ----------
     problem : str
-        Why the last refresh failed; empty when it did not.
+        Why the last refresh failed; empty if it succeeded.
     """
 
     def __init__(
@@ -96,15 +97,15 @@
         self.problem = "not read yet"
         self.refreshed_at = 0.0
         self._listed_at = -math.inf
-        self._signal = -1
+        self._signal_version = -1
         self._daemons: tuple[confirmation.DaemonRow, ...] = ()
-        self._drained: dict[str, tuple[int, float]] = {}
+        self._drains: dict[str, tuple[int, float]] = {}
         self._daemons_revision = 0
-        self._list = machines.VmList(table.Outcome.NOT_DONE)
-        self._time = 0.0
+        self._vm_list = machines.VmList(table.Outcome.NOT_DONE)
+        self._table_time = 0.0
 
     async def refresh(self) -> bool:
-        """Read what changed; return whether all of it could be read."""
+        """Read all changes; return whether every read succeeded."""
         self.refreshed_at = self.platform.clock()
         self.problem = await self._read_rows() or await self._read_list()
         return not self.problem
@@ -113,30 +114,30 @@
         answer = await self.platform.table.read([state.SIGNAL], purpose="fleet")
         if answer.outcome is not table.Outcome.DONE:
             return f"table: {answer.reason or answer.outcome.value}"
-        self._time = answer.time
-        signal = answer.rows[0].version
-        if signal != self._signal:
+        self._table_time = answer.time
+        signal_version = answer.rows[0].version
+        if signal_version != self._signal_version:
             for prefix in state.PREFIXES:
                 since = self.view.revisions[prefix]
                 result = await self._scan(prefix, since)
                 if result.outcome is not table.Outcome.DONE:
                     return f"table: {result.reason or result.outcome.value}"
                 self.view.apply_scan(prefix, result)
-            self._signal = signal
+            self._signal_version = signal_version
         return await self._read_daemons()
 
     async def _scan(self, prefix: str, since: int = 0) -> table.ReadResult:
         return await self.platform.table.scan(prefix, purpose="fleet", since=since)
 
     async def _read_daemons(self) -> str:
-        drained = {}
+        drains = {}
         for row in self.view.vms.values():
             if row.state is state.VmState.DRAINING:
-                number, at = self._drained.get(row.vm, (0, 0.0))
-                at = at if number == row.version else self._time
-                drained[row.vm] = (row.version, at)
-        self._drained = drained
-        if not drained:
+                version, seen_at = self._drains.get(row.vm, (0, 0.0))
+                seen_at = seen_at if version == row.version else self._table_time
+                drains[row.vm] = (row.version, seen_at)
+        self._drains = drains
+        if not drains:
             return ""
         result = await self._scan("daemon/")
         if result.outcome is not table.Outcome.DONE:
@@ -151,24 +152,24 @@
 
     async def _read_list(self) -> str:
         now = self.platform.clock()
-        if now - self._listed_at >= find_list_interval(len(self._list.machines)):
+        if now - self._listed_at >= find_list_interval(len(self._vm_list.machines)):
             answer = await self.platform.machines.list_vms(purpose="fleet")
             if answer.outcome is not table.Outcome.DONE:
                 return f"VM list: {answer.reason or answer.outcome.value}"
             self._listed_at = now
-            # A list older than one seen before would bring VMs back.
-            if answer.as_of >= self._list.as_of:
-                self._list = answer
-        if self._time - self._list.as_of > MAX_LIST_LAG_SECONDS:
-            return f"VM list is {self._time - self._list.as_of:.0f} s old"
-        listed = {machine.vm for machine in self._list.machines}
-        gone = [vm for vm in self.view.vms if vm not in listed]
-        as_of = self._list.as_of
-        self.missing = {vm: self.missing.get(vm, as_of) for vm in gone}
+            # An older list could make removed VMs reappear.
+            if answer.as_of >= self._vm_list.as_of:
+                self._vm_list = answer
+        if self._table_time - self._vm_list.as_of > MAX_LIST_LAG_SECONDS:
+            return f"VM list is {self._table_time - self._vm_list.as_of:.0f} s old"
+        listed = {machine.vm for machine in self._vm_list.machines}
+        unlisted = [vm for vm in self.view.vms if vm not in listed]
+        as_of = self._vm_list.as_of
+        self.missing = {vm: self.missing.get(vm, as_of) for vm in unlisted}
         return ""
 
     async def take_snapshot(self, accepted: document.Document) -> wave.Snapshot:
-        """Check the health of the workers that matter and return the snapshot."""
+        """Check the relevant workers' health and return the snapshot."""
         snapshot = self.build_snapshot(accepted, frozenset())
         healthy = await self.check_health(list_vms_to_check(snapshot), snapshot)
         return self.build_snapshot(accepted, healthy)
@@ -176,11 +177,11 @@
     def build_snapshot(
         self, accepted: document.Document, healthy: frozenset[str]
     ) -> wave.Snapshot:
-        """Return the snapshot with the given VMs as the healthy ones."""
+        """Return the snapshot in which exactly ``healthy`` are the healthy VMs."""
         observation = state.Observation(
-            self._time,
-            {machine.vm: machine for machine in self._list.machines},
-            self._list.as_of,
+            self._table_time,
+            {machine.vm: machine for machine in self._vm_list.machines},
+            self._vm_list.as_of,
             healthy,
         )
         return wave.Snapshot(
@@ -189,7 +190,7 @@
             observation,
             self._daemons,
             self._daemons_revision,
-            {vm: at for vm, (_, at) in self._drained.items()},
+            {vm: seen_at for vm, (_, seen_at) in self._drains.items()},
             self.limits,
             self.confirmation_limits,
         )
@@ -197,7 +198,7 @@
     async def check_health(
         self, vms: Iterable[str], snapshot: wave.Snapshot
     ) -> frozenset[str]:
-        """Return which of the VMs pass their health check now."""
+        """Return the VMs that pass a health check now."""
         healthy: set[str] = set()
         limiter = anyio.CapacityLimiter(MAX_PARALLEL_CHECKS)
 
@@ -216,32 +217,35 @@
 
 
 def find_list_interval(vms: int) -> float:
-    """Return the seconds between VM lists in a fleet of that size.
+    """Return the seconds between readings of the VM list in a fleet of ``vms`` VMs.
 
     Examples
     --------
     >>> find_list_interval(30), find_list_interval(100), find_list_interval(800)
     (1.0, 2.5, 5.0)
     """
-    scaled = max(MIN_LIST_INTERVAL_SECONDS, LIST_INTERVAL_SECONDS_PER_VM * vms)
-    return min(MAX_LIST_INTERVAL_SECONDS, scaled)
+    interval = max(MIN_LIST_INTERVAL_SECONDS, LIST_INTERVAL_SECONDS_PER_VM * vms)
+    return min(MAX_LIST_INTERVAL_SECONDS, interval)
 
 
 def list_vms_to_check(snapshot: wave.Snapshot) -> list[str]:
     """Return the VMs whose health the next decisions depend on.
 
-    All VMs of pools in which a drain is under way, or in which a stop could
-    begin if every listed VM were healthy; elsewhere only VMs that have come
-    back. Made for a wave over the whole fleet: while a VM reboots, which is
-    most of the time, the others of a pool without more spare are not asked.
+    These are all VMs of pools in which a drain is under way, or in which a stop
+    could begin if every listed VM were healthy; in other pools only VMs that have
+    returned from a stop. During a wave over the whole fleet, this avoids checks
+    in pools that wait for a rebooting VM and have no further spare VM.
     """
     view = snapshot.view
     listed = frozenset(snapshot.observation.machines)
-    hopeful = snapshot._replace(
+    optimistic = snapshot._replace(
         observation=snapshot.observation._replace(healthy=listed)
     )
-    begins = (*move.pick_moves(hopeful).changes, *batch.pick_stops(hopeful).changes)
-    pools = {item.row.pool for item in begins}
+    possible_stops = (
+        *move.pick_moves(optimistic).changes,
+        *batch.pick_stops(optimistic).changes,
+    )
+    pools = {item.row.pool for item in possible_stops}
     draining = state.VmState.DRAINING
     pools.update(row.pool for row in view.vms.values() if row.state is draining)
     return sorted(
@@ -252,7 +256,7 @@
 
 
 def has_returned(row: state.VmRow, observation: state.Observation) -> bool:
-    """Tell whether a stopped VM is back, but for its health check."""
+    """Return whether a stopped VM is live with a higher boot number."""
     stopped = (state.VmState.CHECKING, state.VmState.DOWN)
     if row.state not in stopped or not observation.is_live(row.vm):
         return False
--- a/wigeonhitch/fleet/runner.py
+++ b/wigeonhitch/fleet/runner.py
@@ -1,10 +1,10 @@
-"""The task that carries out waves and moves while it holds the duty ``fleet``.
+"""Task that executes waves and moves while this daemon holds the duty ``fleet``.
 
-Nothing that matters is kept here: each round reads the table, decides, and
-commits one transaction per step. A runner that dies at any moment is followed
-by one that reads the same rows and goes on. The only effect outside the table,
-the reboot, is asked for after its commit, again by every later round until
-the boot number moves, and is idempotent by that number.
+The runner keeps no essential state: each round reads the table, decides, and
+commits one transaction per step. If a runner dies at any point, another one
+reads the same rows and continues. The only effect outside the table, the reboot,
+is requested after its commit and by later rounds until the boot number
+increases; the boot number makes the request idempotent.
 """
 
 import collections
@@ -22,49 +22,54 @@
 
 DUTY = "fleet"
 
-# Seconds between rounds.
+# Time between rounds without a stop under way.
 ROUND_INTERVAL_SECONDS = 2.0
-# Seconds between rounds while a stop is under way. Each stop takes four rounds,
-# so the pause between rounds is part of every roll-out; at 4 to 5 reads a round
-# this costs ten reads a second on one daemon, only while a wave or move runs.
+# Time between rounds while a stop is under way. Each stop takes four rounds, so
+# the interval adds to every roll-out. At 4 to 5 reads per round this costs ten
+# reads per second on one daemon, only while a wave or move runs.
 BUSY_ROUND_INTERVAL_SECONDS = 0.5
-# Seconds after which an observation is too old to take VMs out of service on.
+# Maximum age of an observation on which a change may be committed.
 MAX_OBSERVATION_AGE_SECONDS = 15.0
 
-Source = Callable[[], document.Document | None]
+FindDocument = Callable[[], document.Document | None]
 
 
 class Runner:
-    """Runs one round after the other; see `run`.
+    """Executes rounds of the fleet's decisions; see `run`.
 
     Parameters
     ----------
-    seen : Observer
+    fleet_observer : Observer
         Reads the fleet.
     leases : Leases
-        Says whether this daemon holds the duty.
-    source : callable
-        Returns the accepted document, or None when it is not known.
+        Tells whether this daemon holds the duty.
+    find_document : callable
+        Returns the accepted document, or None if it is not known.
 
     Attributes
     ----------
+    seen : Observer
+        The observer that was passed.
     counters : Counter
-        Rounds by result, commits by step and outcome, reboots asked for.
+        Rounds by result, commits by step and outcome, reboot requests by outcome.
     """
 
     def __init__(
-        self, seen: observer.Observer, leases: lease.Leases, source: Source
+        self,
+        fleet_observer: observer.Observer,
+        leases: lease.Leases,
+        find_document: FindDocument,
     ) -> None:
-        self.seen = seen
+        self.seen = fleet_observer
         self.leases = leases
-        self.source = source
+        self.find_document = find_document
         self.counters: collections.Counter[str] = collections.Counter()
-        self._asked: dict[tuple[str, int], float] = {}
+        self._requested_at: dict[tuple[str, int], float] = {}
         self._problem = ""
 
     @property
     def is_busy(self) -> bool:
-        """Whether a stop is under way on this daemon's duty."""
+        """Whether this daemon holds the duty and a stop is under way."""
         rows = self.seen.view.vms.values()
         under_way = any(
             row.state not in (state.VmState.UP, state.VmState.DOWN) for row in rows
@@ -72,7 +77,7 @@
         return under_way and self.leases.current(DUTY) is not None
 
     async def step(self) -> str:
-        """Run one round; return why it could not be run, else an empty text."""
+        """Run one round; return why it could not be run, or an empty string."""
         problem = await self._step()
         self.counters[f"round: {'run' if not problem else 'not run'}"] += 1
         if problem != self._problem:
@@ -83,50 +88,52 @@
     async def _step(self) -> str:
         if self.leases.current(DUTY) is None:
             return "duty is held by another daemon"
-        accepted = self.source()
+        accepted = self.find_document()
         if accepted is None:
             return "no accepted document is known"
         if not await self.seen.refresh():
             return self.seen.problem
         snapshot = await self.seen.take_snapshot(accepted)
-        return await self._carry_out(snapshot)
+        return await self._execute(snapshot)
 
-    async def _carry_out(self, snapshot: wave.Snapshot) -> str:
-        """Commit every step that the snapshot allows, each on the newest view."""
+    async def _execute(self, snapshot: wave.Snapshot) -> str:
+        """Commit every step that the snapshot allows, each on the latest view."""
         steps = wave.advance(snapshot)[0]
         if not await self._commit_all(steps):
             return "a step was not committed"
         await self._request_reboots(snapshot)
-        others = move.release(snapshot, self.seen.missing) + move.assign_vms(snapshot)
-        if not await self._commit_all(others):
+        membership_changes = move.release(
+            snapshot, self.seen.missing
+        ) + move.assign_vms(snapshot)
+        if not await self._commit_all(membership_changes):
             return "a step was not committed"
-        for pick in (move.pick_moves, batch.pick_stops):
-            if not await self._commit_all(pick(snapshot).changes):
+        for pick_changes in (move.pick_moves, batch.pick_stops):
+            if not await self._commit_all(pick_changes(snapshot).changes):
                 return "a step was not committed"
-        for item in batch.list_finished(snapshot):
-            if not await self._finish(snapshot, item):
+        for wave_spec in batch.list_finished(snapshot):
+            if not await self._finish(snapshot, wave_spec):
                 return "a step was not committed"
         return ""
 
     async def _commit_all(self, changes: Iterable[change.Change]) -> bool:
-        for item in changes:
-            if not await self._commit(item):
+        for vm_change in changes:
+            if not await self._commit(vm_change):
                 return False
         return True
 
-    async def _commit(self, item: change.Change) -> bool:
-        """Commit one change; False ends the round, the next one reads anew."""
-        held = self.leases.current(DUTY)
+    async def _commit(self, vm_change: change.Change) -> bool:
+        """Commit one change; return False to end the round without further changes."""
+        held_lease = self.leases.current(DUTY)
         age = self.seen.platform.clock() - self.seen.refreshed_at
-        if held is None or age > MAX_OBSERVATION_AGE_SECONDS:
+        if held_lease is None or age > MAX_OBSERVATION_AGE_SECONDS:
             return False
-        transaction = change.build(item, self.seen.view, held.condition)
-        if not await self._write(transaction, item.step.value):
+        transaction = change.build(vm_change, self.seen.view, held_lease.condition)
+        if not await self._write(transaction, vm_change.step.value):
             return False
-        if item.step is change.Step.LOSE:
-            log.log_problem("VM is down", vm=item.row.vm, why=item.why)
-        if item.step is change.Step.REBOOT:
-            await self._request_reboot(self.seen.view.vms[item.row.vm])
+        if vm_change.step is change.Step.LOSE:
+            log.log_problem("VM is down", vm=vm_change.row.vm, why=vm_change.why)
+        if vm_change.step is change.Step.REBOOT:
+            await self._request_reboot(self.seen.view.vms[vm_change.row.vm])
         return True
 
     async def _write(self, transaction: change.Transaction, name: str) -> bool:
@@ -143,34 +150,39 @@
         self.seen.view.apply_rows(rows)
         return True
 
-    async def _finish(self, snapshot: wave.Snapshot, item: document.Wave) -> bool:
-        held = self.leases.current(DUTY)
-        if held is None:
+    async def _finish(self, snapshot: wave.Snapshot, wave_spec: document.Wave) -> bool:
+        held_lease = self.leases.current(DUTY)
+        if held_lease is None:
             return False
-        row = snapshot.view.waves[item.name]._replace(
+        row = snapshot.view.waves[wave_spec.name]._replace(
             status=state.WaveStatus.DONE, since=snapshot.observation.now
         )
-        transaction = change.build_wave(row, "no VM is left", held.condition)
+        transaction = change.build_wave(row, "no VM is left", held_lease.condition)
         return await self._write(transaction, "finish")
 
     async def _request_reboots(self, snapshot: wave.Snapshot) -> None:
         now = self.seen.platform.clock()
         for row in wave.find_pending_reboots(snapshot):
-            asked = self._asked.get((row.vm, row.boot))
-            if asked is None or now - asked >= snapshot.limits.reboot_retry:
+            requested_at = self._requested_at.get((row.vm, row.boot))
+            if (
+                requested_at is None
+                or now - requested_at >= snapshot.limits.reboot_retry
+            ):
                 await self._request_reboot(row)
 
     async def _request_reboot(self, row: state.VmRow) -> None:
-        """Ask for the reboot, if the duty is still held.
+        """Request the reboot if this daemon still holds the duty.
 
-        A daemon that is paused between this check and the call sends it late.
-        The row cannot have left ``rebooting`` by then without a higher boot
-        number, which makes the platform refuse the late call.
+        A daemon that is paused between this check and the call sends the request
+        late. By then the row can have left ``rebooting`` only with a higher boot
+        number, in which case the platform refuses the request.
         """
         if self.leases.current(DUTY) is None:
             return
-        self._asked = {key: at for key, at in self._asked.items() if key[0] != row.vm}
-        self._asked[(row.vm, row.boot)] = self.seen.platform.clock()
+        self._requested_at = {
+            key: at for key, at in self._requested_at.items() if key[0] != row.vm
+        }
+        self._requested_at[(row.vm, row.boot)] = self.seen.platform.clock()
         outcome = await self.seen.platform.machines.reboot(
             row.vm, row.boot, purpose="fleet"
         )
@@ -184,14 +196,14 @@
     busy_interval: float = BUSY_ROUND_INTERVAL_SECONDS,
     task_status: anyio.abc.TaskStatus = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Compete for the duty and run rounds until cancelled.
+    """Try to acquire the duty, and run rounds until cancelled.
 
     Parameters
     ----------
     runner : Runner
-        What to run.
+        The runner whose rounds are run.
     interval, busy_interval : float
-        Seconds between rounds, without and with a stop under way.
+        Seconds between rounds without and with a stop under way.
     """
     runner.leases.want(DUTY)
     task_status.started()
--- a/wigeonhitch/fleet/state.py
+++ b/wigeonhitch/fleet/state.py
@@ -1,9 +1,9 @@
 """Rows of the fleet in the platform's table, and an incremental view of them.
 
-One row per VM says which pool the VM belongs to and how far a planned stop of
-it has come, so a VM cannot be in two pools. One row per pool lists the VMs
-that planned stops have taken from the pool's budget; every change that takes a
-VM out of service writes that row, so its version guards the whole pool.
+One row per VM holds the pool of the VM and the progress of a planned stop, so a
+VM cannot be in two pools. One row per pool lists the VMs that planned stops have
+charged to the pool's budget. Every change that takes a VM out of service writes
+that row, so its version serialises such changes for the whole pool.
 """
 
 import enum
@@ -28,9 +28,10 @@
 
 SIGNAL = "signal/fleet"
 
-# Pools are read before VMs: a stop committed between the two reads then shows
-# as an old pool version, whose condition fails, and never as an old VM row
-# beside a new pool version, which would spend the same budget twice.
+# Pools are read before VMs. A stop that is committed between the two reads then
+# leaves an old pool version, whose condition fails. In the reverse order it would
+# leave an old VM row with a new pool version, and the same budget would be used
+# twice.
 PREFIXES = ("pool/", "vm/", "wave/")
 
 
@@ -39,7 +40,7 @@
 
 
 class VmState(enum.Enum):
-    """How far a planned stop of a VM has come."""
+    """Progress of a planned stop of a VM."""
 
     UP = "up"
     DRAINING = "draining"
@@ -49,7 +50,7 @@
 
 
 class WaveStatus(enum.Enum):
-    """What operators asked of a wave, or that it has finished."""
+    """Status of a wave that an operator requested, or that it has finished."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -71,14 +72,14 @@
     since : float
         When the state was entered, seconds on the table's clock.
     boot : int
-        Boot number that the committed reboot is for, or `NO_BOOT`; asking
-        again for the same number cannot reboot twice.
+        Boot number of the VM when its reboot was committed, or `NO_BOOT`. A
+        repeated request with the same number cannot reboot the VM twice.
     target : str
-        Pool that a move takes the VM to; empty for a reboot.
+        Pool to which the VM moves; empty for a reboot.
     done : tuple of str
         Waves that have finished with this VM.
     version : int
-        Version of the row; while draining, the number of the drain.
+        Version of the row; while draining, also the number of the drain.
     """
 
     vm: str
@@ -101,7 +102,7 @@
 
 
 class PoolRow(NamedTuple):
-    """Row ``pool/{pool}``: VMs that planned stops have taken from the budget."""
+    """Row ``pool/{pool}``: VMs that planned stops have charged to the budget."""
 
     pool: str
     taken: tuple[str, ...] = ()
@@ -116,11 +117,11 @@
     wave : str
         Name of the wave in the fleet document.
     status : WaveStatus
-        What was asked last.
+        Status of the wave.
     operator : str
-        Who asked.
+        Operator who made the last request.
     since : float
-        When, seconds on the table's clock.
+        When the status was set, seconds on the table's clock.
     """
 
     wave: str
@@ -139,7 +140,7 @@
 
 
 class Observation(NamedTuple):
-    """What was seen of the fleet besides the table's fleet rows.
+    """Observed state of the fleet, apart from its rows in the table.
 
     Parameters
     ----------
@@ -148,9 +149,9 @@
     machines : mapping of str to Machine
         The platform's VM list by VM.
     as_of : float
-        Moment that the list describes, seconds on the table's clock.
+        Time at which the list was valid, seconds on the table's clock.
     healthy : frozenset of str
-        VMs whose health check passed just now.
+        VMs whose latest health check passed.
     """
 
     now: float
@@ -159,17 +160,17 @@
     healthy: frozenset[str]
 
     def is_live(self, vm: str) -> bool:
-        """Tell whether the platform lists the VM as live."""
+        """Return whether the platform lists the VM as live."""
         machine = self.machines.get(vm)
         return machine is not None and machine.state is machines.MachineState.LIVE
 
     def is_serving(self, vm: str) -> bool:
-        """Tell whether the VM is live and passed its health check."""
+        """Return whether the VM is live and passed its health check."""
         return vm in self.healthy and self.is_live(vm)
 
 
 def parse_vm(row: table.Row) -> VmRow:
-    """Return the `VmRow` of a present row under ``vm/``."""
+    """Return the `VmRow` of an existing row under ``vm/``."""
     value = dict(row.value or {})
     value["state"] = VmState(value["state"])
     value["done"] = tuple(value.get("done", ()))
@@ -184,7 +185,7 @@
 
 
 def parse_wave(row: table.Row) -> WaveRow:
-    """Return the `WaveRow` of a present row under ``wave/``."""
+    """Return the `WaveRow` of an existing row under ``wave/``."""
     value = row.value or {}
     return WaveRow(
         row.key.removeprefix("wave/"),
@@ -203,7 +204,7 @@
     vms, pools, waves : dict
         Parsed rows by name.
     revisions : dict of str to int
-        For each prefix, the table revision up to which rows are included.
+        Table revision up to which rows are included, by prefix.
     """
 
     def __init__(self) -> None:
@@ -214,36 +215,36 @@
 
     @property
     def revision(self) -> int:
-        """Return the revision up to which every row is included."""
+        """Return the revision up to which the rows of all prefixes are included."""
         return min(self.revisions.values())
 
     def apply_scan(self, prefix: str, result: table.ReadResult) -> None:
-        """Take over the rows of one successful scan of ``prefix``."""
+        """Apply the rows of one successful scan of ``prefix``."""
         self.apply_rows(result.rows)
         self.revisions[prefix] = max(self.revisions[prefix], result.revision)
 
     def apply_rows(self, rows: Iterable[table.Row]) -> None:
-        """Take over rows that are newer than those held."""
-        places = {
+        """Apply rows that are newer than the current ones."""
+        targets = {
             "vm": (self.vms, parse_vm),
             "pool": (self.pools, parse_pool),
             "wave": (self.waves, parse_wave),
         }
         for row in rows:
             kind, _, name = row.key.partition("/")
-            if kind not in places:
+            if kind not in targets:
                 continue
-            held, parse = places[kind]
+            current, parse = targets[kind]
             if row.value is None:
-                held.pop(name, None)
-            elif name not in held or held[name].version < row.version:
-                held[name] = parse(row)
+                current.pop(name, None)
+            elif name not in current or current[name].version < row.version:
+                current[name] = parse(row)
 
     def pool(self, name: str) -> PoolRow:
-        """Return the row of a pool, with version 0 when it was never written."""
+        """Return the row of a pool, with version 0 if it does not exist."""
         return self.pools.get(name, PoolRow(name))
 
     def members(self, pool: str) -> list[VmRow]:
-        """Return the VM rows of a pool in order of name."""
+        """Return the VM rows of a pool, sorted by name."""
         rows = [row for row in self.vms.values() if row.pool == pool]
         return sorted(rows, key=lambda row: row.vm)
--- a/wigeonhitch/fleet/tests/test_history.py
+++ b/wigeonhitch/fleet/tests/test_history.py
@@ -23,7 +23,7 @@
         self.world = world
         self.name = name
         self.follower = view.Follower(world.fake.build_client(name))
-        self.usable = view.Usable({}, {}, 0)
+        self.usable = view.UsableWorkers({}, {}, 0)
         self.flying = set()
         self.is_alive = True
 
--- a/wigeonhitch/fleet/view.py
+++ b/wigeonhitch/fleet/view.py
@@ -1,10 +1,10 @@
-"""What the request side needs to know of the fleet: usable workers and drains.
+"""View of the fleet for request routing: usable workers and draining VMs.
 
-A daemon that has stopped sending to every VM under `Usable.drains` writes
-`Usable.revision` as ``drain`` into its own row, and names under ``busy`` those
-of them on which it still has requests. It must have its row in the table
-before it sends its first request; a daemon without a row is waited for by
-nobody.
+A daemon that has stopped sending to every VM in `UsableWorkers.drains` writes
+`UsableWorkers.revision` as ``drain`` into its own row, and lists under ``busy``
+those of them on which it still has requests. It must have its row in the table
+before it sends its first request, because a planned stop does not wait for a
+daemon without a row.
 """
 
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 from wigeonhitch.fleet import state
 from wigeonhitch.platform import machines, table
 
-__all__ = ["Follower", "Usable", "Worker", "list_usable"]
+__all__ = ["Follower", "UsableWorkers", "Worker", "list_usable"]
 
 
 class Worker(NamedTuple):
@@ -26,8 +26,8 @@
     data_centre: str
 
 
-class Usable(NamedTuple):
-    """Workers by pool, and drains, as of a revision of the fleet's rows.
+class UsableWorkers(NamedTuple):
+    """UsableWorkers workers by pool, and drains, as of a revision of the fleet's rows.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     drains : mapping of str to int
         Number of the drain of each VM that must get no new request.
     revision : int
-        Revision that this state includes.
+        Table revision up to which rows are included.
     """
 
     pools: Mapping[str, tuple[Worker, ...]]
@@ -46,18 +46,18 @@
 
 def list_usable(
     view: state.FleetView, listed: Mapping[str, machines.Machine]
-) -> Usable:
+) -> UsableWorkers:
     """Return the usable workers of each pool.
 
-    A VM is usable when its row says ``up`` and the platform lists it as live.
-    Whether it answers is for the request side to find out.
+    A VM is usable if its row says ``up`` and the platform lists it as live. Its
+    health is not checked here; the request side detects failures.
 
     Parameters
     ----------
     view : FleetView
         Rows of the fleet.
     listed : mapping of str to Machine
-        The platform's list by VM.
+        The platform's VM list, by VM.
     """
     pools: dict[str, list[Worker]] = {}
     drains = {}
@@ -76,11 +76,11 @@
             )
             pools.setdefault(row.pool, []).append(worker)
     by_pool = {pool: tuple(workers) for pool, workers in pools.items()}
-    return Usable(by_pool, drains, view.revisions["vm/"])
+    return UsableWorkers(by_pool, drains, view.revisions["vm/"])
 
 
 class Follower:
-    """Follows the VM rows with one read a round, and a scan after a change.
+    """Polls the VM rows: one read per refresh, and a scan after a change.
 
     Parameters
     ----------
@@ -90,21 +90,21 @@
 
     def __init__(self, store: table.Table) -> None:
         self._store = store
-        self._signal = -1
+        self._signal_version = -1
         self.view = state.FleetView()
 
     async def refresh(self) -> bool:
-        """Read what changed; return whether the view is now up to date."""
+        """Read all changes; return whether the view is now up to date."""
         answer = await self._store.read([state.SIGNAL], purpose="fleet")
         if answer.outcome is not table.Outcome.DONE:
             return False
-        signal = answer.rows[0].version
-        if signal == self._signal:
+        signal_version = answer.rows[0].version
+        if signal_version == self._signal_version:
             return True
         since = self.view.revisions["vm/"]
         result = await self._store.scan("vm/", purpose="fleet", since=since)
         if result.outcome is not table.Outcome.DONE:
             return False
         self.view.apply_scan("vm/", result)
-        self._signal = signal
+        self._signal_version = signal_version
         return True
