--- a/wigeonhitch/fleet/tests/conftest.py
+++ b/wigeonhitch/fleet/tests/conftest.py
@@ -6,15 +6,15 @@
 from wigeonhitch.membership import lease
 from wigeonhitch.platform import table
 
-LONG = 1e12
+FAR_FUTURE_SECONDS = 1e12
 
 
 class Killed(BaseException):
-    """The process of a runner ends here."""
+    """Raised to simulate the death of the runner's process."""
 
 
 class Holder:
-    """Leases of one daemon, taken over in the table as membership does it."""
+    """Leases of one daemon; takes the duty over in the table as membership does."""
 
     def __init__(self, world, name):
         self.world = world
@@ -24,18 +24,18 @@
 
     def take(self):
         store = self.world.fake.engine.store
-        old = store.read(["duty/fleet"])[0]
+        current_row = store.read(["duty/fleet"])[0]
         store.commit(
-            [table.Condition("duty/fleet", old.version)],
+            [table.Condition("duty/fleet", current_row.version)],
             [table.Write("duty/fleet", {"holder": self.name})],
-            f"{self.name}-{old.version}",
+            f"{self.name}-{current_row.version}",
             self.world.fake.now,
         )
         self.fence = store.revision
 
     def current(self, duty):
-        # A paused holder still believes that it holds the lease.
-        return lease.Lease(duty, self.fence, LONG) if self.fence else None
+        # A paused holder still assumes that it holds the lease.
+        return lease.Lease(duty, self.fence, FAR_FUTURE_SECONDS) if self.fence else None
 
     def want(self, duty):
         pass
@@ -45,10 +45,10 @@
 
 
 class Client:
-    """A daemon's client that can be killed after an effect, or interrupted.
+    """Client of a daemon that can be killed after an effect, or interrupted.
 
-    ``interrupt`` is awaited before call number ``trip``: what other processes
-    do while this one is paused there. It is told the name of the call.
+    ``interrupt`` is awaited, with the name of the call, before call number
+    ``trip``. It simulates what other processes do while this one is paused.
     """
 
     def __init__(self, inner):
@@ -57,7 +57,7 @@
         self.effects = 0
         self.interrupt = None
         self.trip = 0
-        self.observed = (0.0, 0)
+        self.last_health_check = (0.0, 0)
 
     async def _pause(self, name):
         self.trip -= 1
@@ -94,7 +94,7 @@
 
 
 class World:
-    """Fake platform, a document, daemons that confirm, and runners."""
+    """Fake platform with a document, confirming daemons and runners."""
 
     def __init__(self, accepted, vms, **options):
         self.fake = fake.Fake(vms, **options)
@@ -108,9 +108,9 @@
         return self.fake.engine.store
 
     def write(self, key, value):
-        old = self.store.read([key])[0]
+        current_row = self.store.read([key])[0]
         self.store.commit(
-            [table.Condition(key, old.version)],
+            [table.Condition(key, current_row.version)],
             [table.Write(key, value)],
             f"test-{self.store.revision}",
             self.fake.now,
@@ -133,22 +133,22 @@
     def is_serving(self, vm):
         return vm in self.fake.engine.fleet.live and vm not in self.sick
 
-    def build(self, name="r1", *, takes=True):
+    def build(self, name="r1", *, takes_duty=True):
         holder = Holder(self, name)
         client = Client(self.fake.build_client(name))
 
         async def check_health(address):
-            client.observed = (self.fake.now, len(self.failures))
+            client.last_health_check = (self.fake.now, len(self.failures))
             return self.is_serving(address.partition(":")[0])
 
         platform = observer.Platform(
             client, client, check_health, lambda: self.fake.now
         )
-        seen = observer.Observer(platform, self.limits)
-        made = runner.Runner(seen, holder, lambda: self.accepted)
-        if takes:
+        fleet_observer = observer.Observer(platform, self.limits)
+        fleet_runner = runner.Runner(fleet_observer, holder, lambda: self.accepted)
+        if takes_duty:
             holder.take()
-        return made
+        return fleet_runner
 
     def vms(self):
         rows = self.store.scan("vm/", 0)
@@ -167,8 +167,13 @@
         services=(),
         urgencies=(),
         waves=tuple(
-            document.Wave(name, tuple(of), document.Window(0, LONG), "kernel")
-            for name, of in waves.items()
+            document.Wave(
+                name,
+                tuple(pool_names),
+                document.Window(0, FAR_FUTURE_SECONDS),
+                "kernel",
+            )
+            for name, pool_names in waves.items()
         ),
     )
 
@@ -193,7 +198,7 @@
 
 @pytest.fixture
 def world():
-    """Two pools of four VMs that must keep three up; waves w (both) and x (a)."""
+    """Two pools of four VMs, three of which must be up; waves w (both) and x (a)."""
     accepted = build_document(
         ("a", "b"), {"w": ("a", "b"), "x": ("a",)}, required=3, size=4
     )
--- a/wigeonhitch/fleet/tests/test_decisions.py
+++ b/wigeonhitch/fleet/tests/test_decisions.py
@@ -16,8 +16,8 @@
 from wigeonhitch.platform import machines
 
 
-def build_scene(pools, rows, *, waves=(), sick=(), count=40, **fields):
-    """Return a snapshot of VMs v000.. of which ``rows`` says the pool."""
+def build_snapshot(pools, rows, *, waves=(), sick=(), count=40, **fields):
+    """Return a snapshot of VMs v000, v001, ... with the given rows."""
     accepted = document.Document("f", (), (), tuple(pools), (), (), waves=waves)
     listed = {
         item["vm"]: machines.Machine(state=machines.MachineState.LIVE, **item)
@@ -28,8 +28,8 @@
     view.waves = {
         w.name: state.WaveRow(w.name, state.WaveStatus.RUNNING) for w in waves
     }
-    seen = state.Observation(100.0, listed, 100.0, frozenset(listed) - set(sick))
-    return wave.Snapshot(view, accepted, seen, **fields)
+    observation = state.Observation(100.0, listed, 100.0, frozenset(listed) - set(sick))
+    return wave.Snapshot(view, accepted, observation, **fields)
 
 
 def build_pool(name, size, required, spread="rack"):
@@ -50,19 +50,19 @@
 
 
 def simulate_moves(snapshot, rounds=20):
-    """Drain and finish moves until none is left; return how many were made."""
-    made = 0
+    """Drain and complete moves until none is left; return how many were made."""
+    moves = 0
     for _ in range(rounds):
         budgets = snapshot.measure_budgets()
         for pool in snapshot.document.pools:
             assert budgets[pool.name].spare >= 0
         for item in move.pick_moves(snapshot).changes:
             snapshot.view.vms[item.row.vm] = item.row
-            made += 1
+            moves += 1
         for item in wave.advance(snapshot)[0]:
             assert item.step is change.Step.ARRIVE
             snapshot.view.vms[item.row.vm] = item.row
-    return made
+    return moves
 
 
 def test_share_is_rounded_up_to_whole_vms():
@@ -72,119 +72,128 @@
     assert budget.required(pool) == 5
 
 
-def test_stops_of_one_failure_domain_leave_as_much_budget_besides():
+def test_stops_in_one_failure_domain_do_not_exceed_the_remaining_spare():
     pool = build_pool("a", 12, 8, "data_centre")
-    snapshot = build_scene([pool], build_rows({"a": 12}), waves=(build_wave("a"),))
+    snapshot = build_snapshot([pool], build_rows({"a": 12}), waves=(build_wave("a"),))
     picks = batch.pick_stops(snapshot).changes
     domains = [snapshot.observation.machines[item.row.vm].data_centre for item in picks]
-    # Four spare: after two in d0 two are left, a third there would leave one.
+    # Four spare VMs: two stops in d0 leave two spare, a third would leave only one.
     assert sorted(domains) == ["d0", "d0", "d1", "d2"]
 
 
-def test_cut_off_runner_takes_nothing():
+def test_partitioned_runner_stops_no_vm():
     rows = build_rows({"a": 6})
-    everything = [row.vm for row in rows]
-    snapshot = build_scene(
-        [build_pool("a", 6, 4)], rows, waves=(build_wave("a"),), sick=everything
+    all_vms = [row.vm for row in rows]
+    snapshot = build_snapshot(
+        [build_pool("a", 6, 4)], rows, waves=(build_wave("a"),), sick=all_vms
     )
     assert not batch.pick_stops(snapshot).changes
 
 
 @pytest.mark.parametrize("end", [50.0, 150.0])
-def test_no_stop_begins_that_cannot_end_in_the_window(end):
+def test_no_stop_begins_too_close_to_the_end_of_the_window(end):
     item = build_wave("a", end=end)
-    snapshot = build_scene([build_pool("a", 6, 4)], build_rows({"a": 6}), waves=(item,))
+    snapshot = build_snapshot(
+        [build_pool("a", 6, 4)], build_rows({"a": 6}), waves=(item,)
+    )
     assert "closed" in batch.pick_stops(snapshot).waiting["w"]
 
 
-def test_daemon_is_gone_only_by_a_list_newer_than_its_validity():
+def test_daemon_counts_as_gone_only_by_a_list_newer_than_its_expiry():
     row = state.VmRow("v000", "a", state.VmState.DRAINING, version=7)
 
-    def ask(*daemons):
-        found = wave.find_unconfirmed(build_scene([], [], daemons=daemons), row)
-        return [item.daemon for item in found]
+    def find_daemons(*daemons):
+        unconfirmed = wave.find_unconfirmed(
+            build_snapshot([], [], daemons=daemons), row
+        )
+        return [item.daemon for item in unconfirmed]
 
     daemon = confirmation.DaemonRow("d", "e1", 30.0, 6, frozenset(), 1, {})
-    assert ask(daemon) == []
-    # Its last requests may take 60 s more than its validity.
-    assert ask(daemon._replace(expires=95.0)) == ["d"]
-    assert ask(daemon._replace(expires=100.0)) == ["d"]
-    assert ask(daemon._replace(vm="v001")) == ["d"]
+    assert find_daemons(daemon) == []
+    # Its last requests may run for 60 s after its row has expired.
+    assert find_daemons(daemon._replace(expires=95.0)) == ["d"]
+    assert find_daemons(daemon._replace(expires=100.0)) == ["d"]
+    assert find_daemons(daemon._replace(vm="v001")) == ["d"]
     # A new daemon on a VM that the list does not show yet, beside an old row.
-    assert ask(daemon, daemon._replace(daemon="n", expires=105.0)) == ["d", "n"]
+    assert find_daemons(daemon, daemon._replace(daemon="n", expires=105.0)) == [
+        "d",
+        "n",
+    ]
 
 
-def test_silence_counts_from_the_first_sight_of_the_drain():
+def test_silence_counts_from_the_first_observation_of_the_drain():
     row = state.VmRow("v000", "a", state.VmState.DRAINING, version=7, since=10.0)
     rows = [
         confirmation.DaemonRow(name, "v001", expires, drain, frozenset(), 3, {})
         for name, expires, drain in (("d", 20.0, 6), ("e", 110, 7), ("f", 110, 7))
     ]
-    for seen_at, found in ((20.0, 0), (40.0, 1)):
-        snapshot = build_scene([], [], daemons=rows, drain_seen_at={"v000": seen_at})
-        assert len(wave.find_unconfirmed(snapshot, row)) == found
+    for seen_at, expected in ((20.0, 0), (40.0, 1)):
+        snapshot = build_snapshot([], [], daemons=rows, drain_seen_at={"v000": seen_at})
+        assert len(wave.find_unconfirmed(snapshot, row)) == expected
 
 
 def test_reboot_waits_for_a_list_newer_than_the_drain():
     row = state.VmRow("v000", "a", state.VmState.DRAINING, "w", since=101.0, version=7)
     rows = [row, *build_rows({"a": 6})[1:]]
-    snapshot = build_scene(
+    snapshot = build_snapshot(
         [build_pool("a", 6, 4)], rows, waves=(build_wave("a"),), daemons_revision=7
     )
     steps, waiting = wave.advance(snapshot)
     assert not steps and "older than the drain" in waiting["v000"]
 
 
-def test_families_are_reshaped_with_the_fewest_moves():
-    # Four inherited lab families and billing; gas and breakdown need more.
-    held = {"gas": 4, "moisture": 9, "voltage": 4, "trend": 7, "billing": 6}
-    meant = {"gas": 8, "moisture": 5, "voltage": 6, "trend": 5, "billing": 6}
+def test_pools_reach_their_sizes_with_the_fewest_moves():
+    # Two pools have too few VMs, two have too many, and one has its size.
+    current = {"gas": 4, "moisture": 9, "voltage": 4, "trend": 7, "billing": 6}
+    intended = {"gas": 8, "moisture": 5, "voltage": 6, "trend": 5, "billing": 6}
     pools = [
-        build_pool(name, size, min(size, held[name]) - 1)
-        for name, size in meant.items()
+        build_pool(name, size, min(size, current[name]) - 1)
+        for name, size in intended.items()
     ]
-    snapshot = build_scene(pools, build_rows(held))
+    snapshot = build_snapshot(pools, build_rows(current))
     assert simulate_moves(snapshot) == 6
-    sizes = {name: len(snapshot.view.members(name)) for name in meant}
-    assert sizes == meant
+    sizes = {name: len(snapshot.view.members(name)) for name in intended}
+    assert sizes == intended
 
 
 def test_pools_without_a_spare_borrow_one_vm_after_the_other():
     pools = [build_pool(name, 3, 3) for name in "abc"] + [build_pool("spare", 1, 0)]
     item = build_wave("a", "b", "c", "spare")
-    snapshot = build_scene(
+    snapshot = build_snapshot(
         pools, build_rows({"a": 3, "b": 3, "c": 3, "spare": 1}), waves=(item,)
     )
-    lent = move.compute_intended_sizes(snapshot)
-    assert lent == {"a": 4, "b": 3, "c": 3, "spare": 0}
+    sizes = move.compute_intended_sizes(snapshot)
+    assert sizes == {"a": 4, "b": 3, "c": 3, "spare": 0}
     for row in snapshot.view.members("a"):
         snapshot.view.vms[row.vm] = row._replace(done=("w",))
     assert move.compute_intended_sizes(snapshot)["b"] == 4
 
 
-def test_buffer_fills_the_place_of_a_lost_vm():
+def test_buffer_replaces_a_lost_vm():
     pools = [build_pool("a", 3, 3), build_pool("spare", 1, 0)]
     rows = build_rows({"a": 2}) + [state.VmRow("v009", "spare")]
-    (item,) = move.pick_moves(build_scene(pools, rows)).changes
+    (item,) = move.pick_moves(build_snapshot(pools, rows)).changes
     assert (item.row.vm, item.row.target) == ("v009", "a")
 
 
 def test_unassigned_vms_are_spread_over_failure_domains():
-    snapshot = build_scene([build_pool("a", 3, 2), build_pool("b", 3, 2)], [], count=12)
-    placed = move.assign_vms(snapshot)
+    snapshot = build_snapshot(
+        [build_pool("a", 3, 2), build_pool("b", 3, 2)], [], count=12
+    )
+    assignments = move.assign_vms(snapshot)
     for name in "ab":
         racks = [
             snapshot.observation.machines[item.row.vm].rack
-            for item in placed
+            for item in assignments
             if item.row.pool == name
         ]
         assert len(racks) == len(set(racks)) == 3
 
 
 def test_schedule_gives_every_pool_a_window_in_four_weeks():
-    works = {f"p{number}": 7 * 300.0 for number in range(128)}
+    rollouts = {f"p{number}": 7 * 300.0 for number in range(128)}
     windows = planner.schedule(
-        works,
+        rollouts,
         start=0.0,
         period=28 * planner.DAY_SECONDS,
         window_offset=7200.0,
@@ -213,9 +222,9 @@
     assert shared.name.startswith("shared") and own.name == "per pool"
 
 
-def test_only_workers_that_a_decision_depends_on_are_asked():
+def test_only_workers_that_a_decision_depends_on_are_checked():
     rows = build_rows({"a": 3, "b": 3, "c": 3})
-    snapshot = build_scene(
+    snapshot = build_snapshot(
         [build_pool(name, 3, 2) for name in "abc"], rows, waves=(build_wave("a", "b"),)
     )
     names = [row.vm for row in rows]
@@ -231,11 +240,11 @@
 
 
 @pytest.mark.parametrize("name", ["REBOOTING", "CHECKING", "DOWN"])
-def test_stopped_vm_returns_only_by_a_higher_boot_number(name):
-    # A late reboot of this boot number may still come and cut requests off.
+def test_stopped_vm_returns_only_with_a_higher_boot_number(name):
+    # A late reboot request for this boot number could still cut requests off.
     row = state.VmRow("v000", "a", state.VmState[name], "w", since=99.0, boot=0)
     for boot, count in ((0, 0), (1, 1)):
-        snapshot = build_scene([build_pool("a", 1, 0)], [row])
-        seen = snapshot.observation.machines
-        seen["v000"] = seen["v000"]._replace(boot=boot)
+        snapshot = build_snapshot([build_pool("a", 1, 0)], [row])
+        listed = snapshot.observation.machines
+        listed["v000"] = listed["v000"]._replace(boot=boot)
         assert len(wave.advance(snapshot)[0]) == count
--- a/wigeonhitch/fleet/tests/test_history.py
+++ b/wigeonhitch/fleet/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Racing runners, lost answers and failures against the table's history."""
+"""Checks the table's history with concurrent runners, lost answers and failures."""
 
 import itertools
 
@@ -17,7 +17,7 @@
 
 
 class Daemon:
-    """The request side: sends by the view it has applied, then confirms."""
+    """Request side of a daemon: sends by its applied view and confirms drains."""
 
     def __init__(self, world, name):
         self.world = world
@@ -41,7 +41,7 @@
 
 
 class Checker:
-    """Replays the history and checks every commit of the fleet."""
+    """Replays the table's history and checks every commit of the fleet."""
 
     def __init__(self, world, clients):
         self.world = world
@@ -88,14 +88,15 @@
     def check_stop(self, entry, vm, new):
         if new["wave"]:
             assert self.rows[f"wave/{new['wave']}"]["status"] == "running"
-        seen_at, failures = self.clients[entry.daemon].observed
+        seen_at, failures = self.clients[entry.daemon].last_health_check
         assert entry.time - seen_at <= runner.MAX_OBSERVATION_AGE_SECONDS
-        # Failures after the runner looked are those no planner can foresee.
-        excused = set(self.world.failures[failures:])
+        # The runner cannot know of failures after its last health check.
+        later_failures = set(self.world.failures[failures:])
         up = [
             name
             for name, row in self.list_pool(new["pool"])
-            if row["state"] == "up" and (self.world.is_serving(name) or name in excused)
+            if row["state"] == "up"
+            and (self.world.is_serving(name) or name in later_failures)
         ]
         pools = {pool.name: pool for pool in self.world.accepted.pools}
         assert len(up) >= budget.required(pools[new["pool"]]), f"stop of {vm}"
--- a/wigeonhitch/fleet/tests/test_routes.py
+++ b/wigeonhitch/fleet/tests/test_routes.py
@@ -10,10 +10,12 @@
 
 @pytest.fixture
 def ask(world):
-    made = world.build("r1")
-    platform = made.seen.platform
-    desk = routes.build_routes(observer.Observer(platform), lambda: world.accepted)
-    handlers = {(item.method, item.path): item.handler for item in desk}
+    fleet_runner = world.build("r1")
+    platform = fleet_runner.seen.platform
+    fleet_routes = routes.build_routes(
+        observer.Observer(platform), lambda: world.accepted
+    )
+    handlers = {(item.method, item.path): item.handler for item in fleet_routes}
 
     async def call(method, path, **names):
         request = route.Request("ana", frozenset(), names, {}, None)
@@ -21,11 +23,11 @@
         json.dumps(answer.body)
         return answer
 
-    call.runner = made
+    call.runner = fleet_runner
     return call
 
 
-async def test_requests_on_a_wave(world, ask):
+async def test_requests_that_change_a_wave(world, ask):
     await ask.runner.step()
     start, abort = "/waves/{wave}/start", "/waves/{wave}/abort"
     assert (await ask("POST", start, wave="nope")).status == 404
@@ -38,25 +40,25 @@
     assert (await ask("POST", start, wave="w")).status == 503
     world.fake.switch(down=False)
     history = world.store.scan("history/fleet/", 0)
-    told = [row.value["what"] for row in history if row.value.get("operator")]
-    assert told == ["wave running", "wave paused", "wave aborted"]
+    statuses = [row.value["what"] for row in history if row.value.get("operator")]
+    assert statuses == ["wave running", "wave paused", "wave aborted"]
 
 
-async def test_racing_operators_get_one_winner(world, ask):
+async def test_one_of_two_concurrent_operator_requests_succeeds(world, ask):
     await ask.runner.step()
 
-    async def race(_):
+    async def abort_wave(_):
         world.start("w", "aborted")
 
     client = ask.runner.seen.platform.table
-    # The handler's own reads come first: list, then the commit.
-    client.interrupt, client.trip = race, 4
+    # The handler's reads precede its commit, which is the call to interrupt.
+    client.interrupt, client.trip = abort_wave, 4
     answer = await ask("POST", "/waves/{wave}/start", wave="w")
     assert answer.status == 409
     assert "changed meanwhile" in answer.body["reason"]
 
 
-async def test_operators_see_what_waits_and_why(world, ask):
+async def test_pool_and_wave_show_why_stops_wait(world, ask):
     await ask.runner.step()
     await ask("POST", "/waves/{wave}/start", wave="w")
     world.confirm("d1", drain=0)
@@ -64,9 +66,9 @@
     body = (await ask("GET", "/pools/{pool}", pool="a")).body
     assert len(body["taken"]) == 1
     assert (body["required"], len(body["up"]), body["spare"]) == (3, 3, 0)
-    whys = " ".join(item["why"] for item in body["waiting"])
-    assert "daemon d1 has not applied the drain" in whys
-    assert "budget of pool a: 3 up, 3 must be up" in whys
+    reasons = " ".join(item["why"] for item in body["waiting"])
+    assert "daemon d1 has not applied the drain" in reasons
+    assert "budget of pool a: 3 up, 3 must be up" in reasons
     assert all(item["since"] > 0 for item in body["waiting"])
     wave = (await ask("GET", "/waves/{wave}", wave="w")).body
     assert (wave["status"], wave["done"], len(wave["active"])) == ("running", 0, 2)
--- a/wigeonhitch/fleet/tests/test_runner.py
+++ b/wigeonhitch/fleet/tests/test_runner.py
@@ -6,9 +6,9 @@
 pytestmark = pytest.mark.anyio
 
 
-async def run_rounds(world, made, rounds=60, confirms=True):
+async def run_rounds(world, fleet_runner, rounds=60, confirms=True):
     for _ in range(rounds):
-        await made.step()
+        await fleet_runner.step()
         if confirms:
             world.confirm("d1")
         world.fake.advance(2.0)
@@ -20,10 +20,10 @@
 
 
 async def test_wave_reboots_each_vm_once_and_finishes(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.start("w")
-    await run_rounds(world, made)
+    await run_rounds(world, fleet_runner)
     assert set(count_boots(world).values()) == {1}
     assert world.store.read(["wave/w"])[0].value["status"] == "done"
     assert {row.state for row in world.vms().values()} == {state.VmState.UP}
@@ -31,52 +31,52 @@
 
 
 async def test_no_reboot_before_every_daemon_confirmed(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.start("w")
     world.confirm("d2")
-    await run_rounds(world, made, 10)
+    await run_rounds(world, fleet_runner, 10)
     assert set(count_boots(world).values()) == {0}
     draining = [vm for vm, row in world.vms().items() if row.state.value == "draining"]
     assert len(draining) == 2
     world.confirm("d2", busy=draining)
-    await run_rounds(world, made, 10)
+    await run_rounds(world, fleet_runner, 10)
     assert set(count_boots(world).values()) == {0}
     world.confirm("d2")
-    await run_rounds(world, made, 5)
+    await run_rounds(world, fleet_runner, 5)
     assert max(count_boots(world).values()) == 1
 
 
-async def test_lost_vm_halts_the_wave_and_gives_the_drain_back(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+async def test_lost_vm_delays_the_wave_and_gives_the_draining_vm_back(world):
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.start("x")
-    await made.step()
+    await fleet_runner.step()
     taken = [row for row in world.vms().values() if row.state.value == "draining"]
     assert len(taken) == 1
     lost = next(
         vm for vm, row in world.vms().items() if row.pool == "a" and vm != taken[0].vm
     )
     world.sick.add(lost)
-    await run_rounds(world, made, 10)
+    await run_rounds(world, fleet_runner, 10)
     boots = count_boots(world)
-    # The VM that does not serve may be rebooted: that costs the pool nothing.
+    # The unhealthy VM may be rebooted, since its stop uses no budget.
     assert {vm for vm, boot in boots.items() if boot} <= {lost}
     assert world.vms()[taken[0].vm].state is state.VmState.UP
     world.sick.clear()
-    await run_rounds(world, made)
+    await run_rounds(world, fleet_runner)
     assert world.store.read(["wave/x"])[0].value["status"] == "done"
 
 
-async def test_vm_that_stays_away_is_reported_and_the_wave_goes_on(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+async def test_vm_that_does_not_return_is_marked_down_and_the_wave_continues(world):
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.fake.change_fleet(never_back=["v000"])
     world.accepted = conftest.build_document(
         ("a", "b"), {"w": ("a", "b")}, required=2, size=4
     )
     world.start("w")
-    await run_rounds(world, made, 120)
+    await run_rounds(world, fleet_runner, 120)
     rows = world.vms()
     assert rows.pop("v000").state is state.VmState.DOWN
     assert {row.state for row in rows.values()} == {state.VmState.UP}
@@ -85,35 +85,35 @@
 
 
 async def test_planned_stops_wait_while_the_store_is_down(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.start("w")
-    await made.step()
+    await fleet_runner.step()
     world.confirm("d1")
     world.fake.switch(down=True)
-    assert "table" in await made.step()
+    assert "table" in await fleet_runner.step()
     assert set(count_boots(world).values()) == {0}
     world.fake.switch(down=False)
-    await run_rounds(world, made)
+    await run_rounds(world, fleet_runner)
     assert set(count_boots(world).values()) == {1}
 
 
 async def test_paused_wave_begins_no_stop(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.start("w")
-    await made.step()
+    await fleet_runner.step()
     world.start("w", "paused")
-    await run_rounds(world, made, 10)
+    await run_rounds(world, fleet_runner, 10)
     assert set(count_boots(world).values()) == {0}
     assert world.store.read(["pool/a"])[0].value == {"taken": []}
 
 
 @pytest.mark.parametrize("loses", [False, True], ids=["killed", "answer lost"])
-async def test_wave_survives_death_at_every_step(world, loses):
+async def test_wave_finishes_although_its_runner_dies_at_every_step(world, loses):
     for _ in range(400):
-        made = world.build()
-        client = made.seen.platform.table
+        fleet_runner = world.build()
+        client = fleet_runner.seen.platform.table
         client.kill_after = 1
         if loses:
             world.fake.switch(lose={"prefix": "/table/commit", "every": 2})
@@ -121,7 +121,7 @@
             world.start("w")
         try:
             for _ in range(3):
-                await made.step()
+                await fleet_runner.step()
                 world.confirm("d1")
                 world.fake.advance(2.0)
         except conftest.Killed:
@@ -134,16 +134,16 @@
 
 
 @pytest.mark.parametrize("moment", ["between scans", "after the round"])
-async def test_late_commit_of_the_same_holder_does_not_overspend(world, moment):
-    made = world.build()
-    await run_rounds(world, made, 2)
+async def test_late_commit_of_the_same_holder_does_not_exceed_the_budget(world, moment):
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.start("x")
     world.fake.switch(late={"prefix": "/table/commit", "next": 100, "seconds": 30.0})
-    await made.step()
+    await fleet_runner.step()
     world.fake.switch(late=None)
     pool = [vm for vm, row in world.vms().items() if row.pool == "a"]
-    # The stop that was asked for is that of the first VM; now the last fails
-    # and may be stopped instead, which costs nothing unless both are stopped.
+    # The late commit stops the first VM. The last VM now fails and may be stopped
+    # as well, which uses no budget, but both stops together would exceed it.
     world.sick.add(pool[-1])
 
     async def land(_):
@@ -151,34 +151,34 @@
 
     if moment == "between scans":
         world.write(state.SIGNAL, {})
-        client = made.seen.platform.table
+        client = fleet_runner.seen.platform.table
         client.interrupt, client.trip = land, 1
-    await made.step()
+    await fleet_runner.step()
     assert moment == "between scans" or world.fake.land()
     up = [vm for vm in pool if world.vms()[vm].state is state.VmState.UP]
     assert len(up) == 3
 
 
 async def test_fleet_is_reshaped_when_the_document_changes(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     pools = world.accepted.pools
     sized = (pools[0]._replace(size=3), pools[1]._replace(size=5))
     world.accepted = world.accepted._replace(pools=sized)
     world.confirm("d1", drain=0)
-    await run_rounds(world, made, 3, confirms=False)
+    await run_rounds(world, fleet_runner, 3, confirms=False)
     (moving,) = (row for row in world.vms().values() if row.target)
     assert (moving.pool, moving.state) == ("a", state.VmState.DRAINING)
-    await run_rounds(world, made, 3)
+    await run_rounds(world, fleet_runner, 3)
     assert sum(row.pool == "b" for row in world.vms().values()) == 5
     assert set(count_boots(world).values()) == {0}
 
 
 async def test_leaving_vm_gets_no_new_work_within_seconds(world):
-    made = world.build()
-    await run_rounds(world, made, 5)
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 5)
     world.fake.change_fleet(leaving="v001")
-    await run_rounds(world, made, 4)
+    await run_rounds(world, fleet_runner, 4)
     follower = view.Follower(world.fake.client)
     assert await follower.refresh()
     usable = view.list_usable(follower.view, world.fake.engine.fleet.live)
@@ -186,32 +186,34 @@
     assert len(workers) == 7 and "v001" in usable.drains
 
 
-async def test_vm_gone_for_long_is_replaced_in_its_pool(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+async def test_vm_missing_for_long_is_replaced_in_its_pool(world):
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     gone = world.vms()["v001"]
     world.fake.change_fleet(remove="v001")
     new = conftest.build_vms(9)[-1]
     world.fake.change_fleet(add=new)
-    await run_rounds(world, made, 5)
+    await run_rounds(world, fleet_runner, 5)
     assert "v008" not in world.vms()
     world.fake.advance(move.RELEASE_AFTER_SECONDS)
-    await run_rounds(world, made, 3)
+    await run_rounds(world, fleet_runner, 3)
     assert "v001" not in world.vms()
     assert world.vms()["v008"].pool == gone.pool
 
 
-async def test_observation_from_before_a_pause_begins_nothing(world):
-    made = world.build()
-    await run_rounds(world, made, 2)
+async def test_outdated_observation_begins_no_stop(world):
+    fleet_runner = world.build()
+    await run_rounds(world, fleet_runner, 2)
     world.start("w")
-    ask = made.seen.platform.check_health
+    check_health = fleet_runner.seen.platform.check_health
 
-    async def ask_and_pause(address):
-        answer = await ask(address)
+    async def check_and_pause(address):
+        is_healthy = await check_health(address)
         world.fake.advance(3.0)
-        return answer
+        return is_healthy
 
-    made.seen.platform = made.seen.platform._replace(check_health=ask_and_pause)
-    await made.step()
+    fleet_runner.seen.platform = fleet_runner.seen.platform._replace(
+        check_health=check_and_pause
+    )
+    await fleet_runner.step()
     assert {row.state for row in world.vms().values()} == {state.VmState.UP}
