--- a/wigeonhitch/maintenance/tests/test_decisions.py
+++ b/wigeonhitch/maintenance/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Waves under their ceilings, and VMs that follow demand."""
+"""Decisions on maintenance waves, on moves with demand, and on ended workers."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from wigeonhitch.pool import record as pool_record
 
 NOW = 100.0
-UPKEEP = 2.0
+MAINTENANCE_S = 2.0
 ROOM = model.Room(32000, 65536)
 
 
@@ -19,181 +19,182 @@
 
 @pytest.fixture
 def state():
-    made = core.FleetState(NOW - 10)
-    made.pools = {
+    state = core.FleetState(NOW - 10)
+    state.pools = {
         "a": model.Pool("a"),
         "b": model.Pool("b"),
         "off": model.Pool("off", standby=True),
     }
-    made.initial_sizes = {"a": 6, "b": 6, "off": 2}
+    state.initial_sizes = {"a": 6, "b": 6, "off": 2}
     listed = [make_vm(f"{pool}{n}", pool) for pool in "ab" for n in range(6)]
     listed += [make_vm(f"off{n}", "off", worker="") for n in range(2)]
-    made.on_vms(tuple(listed), NOW)
+    state.on_vms(tuple(listed), NOW)
     for pool in "ab":
-        made.boards[pool] = pool_record.Board({}, 0, 20000)
-    return made
+        state.boards[pool] = pool_record.Board({}, 0, 20000)
+    return state
 
 
-def order_wave(state, vms, ceiling=2, within=26.0):
+def start_wave(state, vms, ceiling=2, within=26.0):
     state.on_wave(entries.WaveOrder(1, tuple(vms), within, ceiling), NOW)
     state.shown[1] = False
 
 
-def pick(actions, kind):
-    return [one for one in actions if isinstance(one, kind)]
+def select(actions, kind):
+    return [action for action in actions if isinstance(action, kind)]
 
 
-def empty(state, *workers):
+def mark_empty(state, *workers):
     for pool in "ab":
         board = state.boards[pool]
         state.boards[pool] = board._replace(empty=workers)
 
 
-def close(state, *vms):
+def close_workers(state, *vms):
     for vm in vms:
         state.on_closing(record.Closing(f"w-{vm}", vm, 1), NOW)
 
 
-def test_only_vms_shown_empty_go_down_and_never_more_than_the_ceiling(state):
-    order_wave(state, ["a0", "a1", "b0", "b1"])
-    close(state, "a0", "a1", "b0")
-    assert pick(wave.plan_waves(state, NOW, UPKEEP), core.Maintain) == []
+def test_only_empty_vms_are_maintained_within_ceiling(state):
+    start_wave(state, ["a0", "a1", "b0", "b1"])
+    close_workers(state, "a0", "a1", "b0")
+    assert select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Maintain) == []
 
-    empty(state, "w-a0", "w-a1", "w-b0")
-    orders = pick(wave.plan_waves(state, NOW, UPKEEP), core.Maintain)
+    mark_empty(state, "w-a0", "w-a1", "w-b0")
+    orders = select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Maintain)
     assert len(orders) == 2
 
 
-def test_a_vm_that_was_ordered_counts_under_the_ceiling_until_it_is_back(state):
-    order_wave(state, ["a0", "a1", "b0"])
+def test_ordered_vm_counts_towards_ceiling_until_it_is_back(state):
+    start_wave(state, ["a0", "a1", "b0"])
     state.progress[1] = state.progress[1].order("a0", "w-a0").order("a1", "w-a1")
-    close(state, "b0")
-    empty(state, "w-b0")
+    close_workers(state, "b0")
+    mark_empty(state, "w-b0")
 
-    assert pick(wave.plan_waves(state, NOW, UPKEEP), core.Maintain) == []
+    assert select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Maintain) == []
 
 
-def test_an_order_without_an_answer_counts_and_is_given_again(state):
-    order_wave(state, ["a0"], ceiling=1)
-    close(state, "a0")
-    empty(state, "w-a0")
+def test_unanswered_order_counts_and_is_repeated(state):
+    start_wave(state, ["a0"], ceiling=1)
+    close_workers(state, "a0")
+    mark_empty(state, "w-a0")
     state.progress[1] = state.progress[1].order("a0", "w-a0")
     state.last_ordered_at["a0"] = NOW
 
-    assert pick(wave.plan_waves(state, NOW, UPKEEP), core.Maintain) == []
-    later = pick(wave.plan_waves(state, NOW + 1.5, UPKEEP), core.Maintain)
-    assert [one.vm for one in later] == ["a0"]
+    assert select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Maintain) == []
+    later = select(wave.plan_waves(state, NOW + 1.5, MAINTENANCE_S), core.Maintain)
+    assert [order.vm for order in later] == ["a0"]
 
 
-def test_a_new_life_alone_does_not_make_a_vm_through(state):
-    """A worker that crashed between the order and its answer has a new life."""
-    order_wave(state, ["a0"])
+def test_new_worker_alone_does_not_complete_maintenance(state):
+    """A worker that crashes between the order and its answer is replaced too."""
+    start_wave(state, ["a0"])
     state.progress[1] = state.progress[1].order("a0", "an earlier life")
     state.on_vms((make_vm("a0"),), NOW + 5)
 
-    wave.plan_waves(state, NOW + 5, UPKEEP)
+    wave.plan_waves(state, NOW + 5, MAINTENANCE_S)
 
     assert state.progress[1].done == frozenset()
 
 
-def test_a_life_at_a_later_order_does_not_show_its_vm_as_through(state):
-    """What could be seen: more VMs down for a wave than its ceiling allows.
-
-    How: an order was given again to a VM's second life and carried out on that; the
-    VM's list still showed this life, and it isn't the one at the first order.
+def test_worker_at_repeated_order_does_not_complete_maintenance(state):
+    """More VMs of a wave were down than its ceiling allows.
 
-    Cause: another life than the first stood for one after the upkeep. It must be
-    another than at the last order too, or the upkeep's time must have passed.
+    An order was repeated for a VM's second worker and carried out on it, while the list
+    of VMs still showed that worker. It differs from the one at the first order, so the
+    VM counted as done. The worker must also differ from the one at the last order, or
+    the maintenance time must have passed.
     """
-    order_wave(state, ["a0"])
+    start_wave(state, ["a0"])
     state.progress[1] = state.progress[1].order("a0", "first").confirm("a0")
     state.last_ordered_at["a0"] = NOW
     state.last_ordered_worker["a0"] = "w-a0"
     state.on_vms((make_vm("a0"),), NOW + 1)
 
-    assert pick(wave.plan_waves(state, NOW + 1, UPKEEP), core.Show) == []
+    assert select(wave.plan_waves(state, NOW + 1, MAINTENANCE_S), core.Show) == []
 
     state.on_vms((make_vm("a0"),), NOW + 3)
-    assert pick(wave.plan_waves(state, NOW + 3, UPKEEP), core.Show)
+    assert select(wave.plan_waves(state, NOW + 3, MAINTENANCE_S), core.Show)
 
 
-def test_a_wave_is_completed_once_all_are_back(state):
-    order_wave(state, ["a0"])
+def test_wave_is_completed_once_all_vms_are_back(state):
+    start_wave(state, ["a0"])
     state.progress[1] = state.progress[1].order("a0", "w-a0").confirm("a0")
     state.last_ordered_at["a0"] = NOW
     state.on_vms((make_vm("a0", state=fleet.VmState.UPKEEP),), NOW + 1)
-    assert pick(wave.plan_waves(state, NOW + 1, UPKEEP), core.Show) == []
+    assert select(wave.plan_waves(state, NOW + 1, MAINTENANCE_S), core.Show) == []
 
     state.on_vms((make_vm("a0", worker="a new life"),), NOW + 3)
-    (shown,) = pick(wave.plan_waves(state, NOW + 3, UPKEEP), core.Show)
+    (shown,) = select(wave.plan_waves(state, NOW + 3, MAINTENANCE_S), core.Show)
     assert shown.completed
 
 
-def test_a_standby_vm_without_a_worker_is_through_after_its_upkeep(state):
-    order_wave(state, ["off0"])
-    (ordered,) = pick(wave.plan_waves(state, NOW, UPKEEP), core.Maintain)
+def test_standby_vm_without_worker_is_done_after_maintenance_time(state):
+    start_wave(state, ["off0"])
+    (ordered,) = select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Maintain)
     assert ordered.vm == "off0"
     state.progress[1] = state.progress[1].order("off0", "").confirm("off0")
     state.last_ordered_at["off0"] = NOW
 
     vms = tuple(state.vms.values())
     state.on_vms(vms, NOW + 1)
-    assert pick(wave.plan_waves(state, NOW + 1, UPKEEP), core.Show) == []
+    assert select(wave.plan_waves(state, NOW + 1, MAINTENANCE_S), core.Show) == []
     state.on_vms(vms, NOW + 3)
-    assert pick(wave.plan_waves(state, NOW + 3, UPKEEP), core.Show)[0].completed
+    assert select(wave.plan_waves(state, NOW + 3, MAINTENANCE_S), core.Show)[
+        0
+    ].completed
 
 
-def test_a_vm_whose_upkeep_was_refused_has_tasks_again(state):
-    order_wave(state, ["a0", "a1"])
-    close(state, "a0", "a1")
+def test_vm_whose_maintenance_was_refused_is_reopened(state):
+    start_wave(state, ["a0", "a1"])
+    close_workers(state, "a0", "a1")
     state.progress[1] = state.progress[1].finish({"a0"})
 
-    (opened,) = pick(wave.plan_waves(state, NOW, UPKEEP), core.Open)
+    (opened,) = select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Open)
 
     assert opened.worker == "w-a0"
 
 
-def test_no_wave_is_completed_before_the_vms_are_listed(state):
-    order_wave(state, ["a0"])
+def test_no_wave_is_completed_before_vms_are_listed(state):
+    start_wave(state, ["a0"])
     state.vms = {}
 
-    assert pick(wave.plan_waves(state, NOW, UPKEEP), core.Show) == []
+    assert select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Show) == []
 
 
-def test_few_vms_of_a_pool_are_vacated_at_once(state):
-    order_wave(state, [f"a{n}" for n in range(6)], ceiling=6)
+def test_few_vms_of_a_pool_are_drained_at_once(state):
+    start_wave(state, [f"a{n}" for n in range(6)], ceiling=6)
 
-    assert len(pick(wave.plan_waves(state, NOW, UPKEEP), core.Close)) == 2
+    assert len(select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Close)) == 2
 
 
-def test_a_pool_in_its_burst_is_left_alone_until_time_gets_short(state):
-    order_wave(state, ["a0"])
+def test_pool_in_burst_is_not_drained_until_wave_is_urgent(state):
+    start_wave(state, ["a0"])
     state.boards["a"] = state.boards["a"]._replace(unmet=64000)
 
-    assert pick(wave.plan_waves(state, NOW, UPKEEP), core.Close) == []
-    assert pick(wave.plan_waves(state, NOW + 20, UPKEEP), core.Close)
+    assert select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Close) == []
+    assert select(wave.plan_waves(state, NOW + 20, MAINTENANCE_S), core.Close)
 
 
-def test_a_burst_takes_the_standby_vms_at_once(state):
+def test_burst_takes_standby_vms_at_once(state):
     state.boards["a"] = state.boards["a"]._replace(unmet=64000, idle=0)
 
-    moves = pick(demand.plan_moves(state, NOW), core.Move)
+    moves = select(demand.plan_moves(state, NOW), core.Move)
 
-    assert [(one.vm, one.pool) for one in moves] == [("off0", "a"), ("off1", "a")]
+    assert [(move.vm, move.pool) for move in moves] == [("off0", "a"), ("off1", "a")]
     assert demand.plan_moves(state, NOW) == []
 
 
-def test_a_burst_seen_from_what_is_handed_in_takes_vms_before_the_pool_is_full(state):
+def test_burst_detected_from_submitted_jobs_takes_vms_before_pool_is_full(state):
     board = state.boards["a"]
     state.boards["a"] = board._replace(wanted=256000, least=100000, room=192000)
 
-    moves = pick(demand.plan_moves(state, NOW), core.Move)
+    moves = select(demand.plan_moves(state, NOW), core.Move)
 
-    assert [one.pool for one in moves] == ["a", "a"]
+    assert [move.pool for move in moves] == ["a", "a"]
 
 
-def test_a_pool_whose_burst_is_over_gives_vms_while_it_still_works(state):
-    """Its work under way would be in time with half of the VMs that it has."""
+def test_pool_whose_burst_is_over_gives_vms_while_it_still_works(state):
+    """Its running work would be in time with half of its VMs."""
     extra = [make_vm(f"x{n}", "b") for n in range(6)]
     state.on_vms((*state.vms.values(), *extra), NOW)
     light = tuple(f"w-x{n}" for n in range(6))
@@ -202,48 +203,46 @@
         {}, 0, 0, light=light, wanted=380000, least=192000, room=384000
     )
 
-    closed = pick(demand.plan_moves(state, NOW), core.Close)
+    closed = select(demand.plan_moves(state, NOW), core.Close)
 
-    assert {one.closing.vm for one in closed} <= {one.id for one in extra}
+    assert {action.closing.vm for action in closed} <= {vm.id for vm in extra}
     assert len(closed) == 3
 
 
-def test_a_burst_on_a_large_site_takes_all_its_standby_vms_at_once(state):
+def test_burst_on_large_site_takes_all_standby_vms_at_once(state):
     listed = list(state.vms.values())
     listed += [make_vm(f"off{n}", "off", worker="") for n in range(2, 28)]
     state.on_vms(tuple(listed), NOW)
     state.boards["a"] = pool_record.Board({}, 40 * 32000, 0)
 
-    moves = pick(demand.plan_moves(state, NOW), core.Move)
+    moves = select(demand.plan_moves(state, NOW), core.Move)
 
     assert len(moves) == 28
 
 
 @pytest.mark.parametrize(("orders_per_second", "sent"), [(310.0, 105), (64.0, 32)])
-def test_hundreds_of_vms_are_sent_to_a_burst_as_fast_as_the_platform_takes_orders(
-    state, orders_per_second, sent
-):
-    """A burst that asks for 100 VMs of 276: at 32 at once the last came 4.5 s later."""
+def test_concurrent_moves_follow_order_rate_of_platform(state, orders_per_second, sent):
+    """With 32 concurrent moves, the last of 100 VMs (of 276) arrived 4.5 s later."""
     state.max_concurrent_moves = demand.compute_max_concurrent_moves(orders_per_second)
     spare = [make_vm(f"off{n}", "off", worker="") for n in range(105)]
     state.on_vms(tuple(spare), NOW)
     state.boards["a"] = pool_record.Board({}, 200 * ROOM.cpu)
 
-    assert len(pick(demand.plan_moves(state, NOW), core.Move)) == sent
+    assert len(select(demand.plan_moves(state, NOW), core.Move)) == sent
 
 
-def test_a_burst_asks_for_what_piles_up_until_vms_come(state):
-    """It lacks one VM's room, so three are sent, as many as can be had."""
+def test_burst_requests_capacity_for_its_backlog(state):
+    """The pool lacks the capacity of one VM, so three VMs are moved to it."""
     more = [make_vm(f"off{n}", "off", worker="") for n in range(2, 6)]
     state.on_vms((*state.vms.values(), *more), NOW)
     state.boards["a"] = pool_record.Board(
         {}, wanted=100000, least=100000, room=192000, arriving=224000
     )
 
-    assert len(pick(demand.plan_moves(state, NOW), core.Move)) == 3
+    assert len(select(demand.plan_moves(state, NOW), core.Move)) == 3
 
 
-def test_a_burst_that_the_pool_holds_itself_asks_for_nothing(state):
+def test_burst_within_pool_capacity_requests_no_vms(state):
     state.boards["a"] = pool_record.Board(
         {}, wanted=180000, least=100000, room=192000, arriving=180000
     )
@@ -251,20 +250,20 @@
     assert demand.plan_moves(state, NOW) == []
 
 
-def test_vms_that_can_go_at_once_are_taken_before_those_that_run_something(state):
+def test_idle_vms_are_taken_before_busy_ones(state):
     extra = [make_vm(f"x{n}", "b") for n in range(2)]
     state.on_vms((*state.vms.values(), *extra), NOW)
-    set_burst(state, room=256000, bare=0)
+    set_burst_in_a(state, room=256000, bare=0)
     light, bare = ("w-x0", "w-x1"), ("w-x1",)
     state.boards["b"] = state.boards["b"]._replace(light=light, bare=bare)
 
-    closed = pick(demand.plan_moves(state, NOW), core.Close)
+    closed = select(demand.plan_moves(state, NOW), core.Close)
 
-    assert [one.closing.vm for one in closed] == ["x1", "x0"]
+    assert [action.closing.vm for action in closed] == ["x1", "x0"]
 
 
-def set_burst(state, *, room=192000, least=0, bare=6, unmet=0):
-    """Pool a is asked for much more than it holds; b is between two bursts."""
+def set_burst_in_a(state, *, room=192000, least=0, bare=6, unmet=0):
+    """Set boards of pool a in a burst beyond its capacity, and of b between bursts."""
     state.boards["a"] = pool_record.Board({}, 320000, wanted=640000, least=640000)
     light = tuple(f"w-b{n}" for n in range(bare))
     state.boards["b"] = pool_record.Board(
@@ -272,25 +271,25 @@
     )
 
 
-def test_an_idle_pool_lends_at_most_a_third_of_its_own_vms(state):
-    set_burst(state)
+def test_idle_pool_lends_at_most_a_third_of_its_initial_vms(state):
+    set_burst_in_a(state)
 
-    closed = pick(demand.plan_moves(state, NOW), core.Close)
+    closed = select(demand.plan_moves(state, NOW), core.Close)
 
-    assert [one.closing.vm for one in closed] == ["b0", "b1"]
-    for one in closed:
-        state.on_closing(one.closing, NOW)
-    assert pick(demand.plan_moves(state, NOW), core.Close) == []
+    assert [action.closing.vm for action in closed] == ["b0", "b1"]
+    for action in closed:
+        state.on_closing(action.closing, NOW)
+    assert select(demand.plan_moves(state, NOW), core.Close) == []
 
 
-def test_a_large_idle_pool_lends_more(state):
-    """Eleven of 33 VMs, where a burst asks for more than all spare ones hold."""
+def test_large_idle_pool_lends_more(state):
+    """A pool of 33 VMs lends eleven when a burst exceeds all standby VMs."""
     more = [make_vm(f"b{n}", "b") for n in range(6, 33)]
     state.on_vms((*state.vms.values(), *more), NOW)
     state.initial_sizes["b"] = 33
-    set_burst(state, room=33 * 32000, bare=33)
+    set_burst_in_a(state, room=33 * 32000, bare=33)
 
-    assert len(pick(demand.plan_moves(state, NOW), core.Close)) == 11
+    assert len(select(demand.plan_moves(state, NOW), core.Close)) == 11
 
 
 @pytest.mark.parametrize(
@@ -298,41 +297,41 @@
     [{"least": 100000}, {"unmet": 4000}, {"bare": 0}],
     ids=["needs its room", "misses room itself", "runs something everywhere"],
 )
-def test_a_pool_that_needs_its_own_vms_keeps_them_in_anothers_burst(state, fields):
-    set_burst(state, **fields)
+def test_pool_keeps_vms_that_it_needs_in_burst_of_another(state, fields):
+    set_burst_in_a(state, **fields)
 
-    assert pick(demand.plan_moves(state, NOW), core.Close) == []
+    assert select(demand.plan_moves(state, NOW), core.Close) == []
 
 
-def test_a_lender_gets_its_vms_back_before_any_is_switched_off(state):
-    listed = [one for one in state.vms.values() if one.id != "b0"]
+def test_lender_gets_vms_back_before_any_returns_to_standby(state):
+    listed = [vm for vm in state.vms.values() if vm.id != "b0"]
     state.on_vms((*listed, make_vm("b0", "a"), make_vm("spare", "a")), NOW)
     bare = ("w-b0", "w-spare")
     state.boards["a"] = pool_record.Board({}, 0, 96000, bare=bare, room=256000)
     demand.plan_moves(state, NOW)
 
-    closed = pick(
+    closed = select(
         demand.plan_moves(state, NOW + demand.IDLE_BEFORE_STANDBY_SECONDS), core.Close
     )
 
-    assert [one.closing.pool for one in closed] == ["b", "off"]
+    assert [action.closing.pool for action in closed] == ["b", "off"]
 
 
-def test_a_vm_that_may_never_go_to_a_pool_is_opened_and_not_tried_again(state):
-    set_burst(state)
-    (first, _) = pick(demand.plan_moves(state, NOW), core.Close)
+def test_vm_whose_move_was_refused_is_reopened_and_not_retried(state):
+    set_burst_in_a(state)
+    (first, _) = select(demand.plan_moves(state, NOW), core.Close)
     state.on_closing(first.closing, NOW)
     state.on_move_refused(first.closing.vm, first.closing.pool)
 
     actions = demand.plan_moves(state, NOW)
     state.on_reopened(first.closing.worker)
-    later = pick(demand.plan_moves(state, NOW), core.Close)
+    later = select(demand.plan_moves(state, NOW), core.Close)
 
     assert core.Open(first.closing.worker) in actions
-    assert first.closing.vm not in [one.closing.vm for one in later]
+    assert first.closing.vm not in [action.closing.vm for action in later]
 
 
-def test_spare_vms_go_from_an_idle_pool_to_a_pressed_one(state):
+def test_surplus_vms_move_from_idle_pool_to_busy_one(state):
     spare = make_vm("spare", "b")
     state.on_vms((*state.vms.values(), spare), NOW)
     board = state.boards["a"]
@@ -340,12 +339,12 @@
     board = state.boards["b"]
     state.boards["b"] = board._replace(idle=64000, room=64000, light=("w-spare",))
 
-    (closing,) = pick(demand.plan_moves(state, NOW), core.Close)
+    (closing,) = select(demand.plan_moves(state, NOW), core.Close)
 
     assert (closing.closing.vm, closing.closing.pool) == ("spare", "a")
 
 
-def test_idle_spare_vms_are_switched_off_after_a_while(state):
+def test_idle_surplus_vms_return_to_standby_after_delay(state):
     spare = make_vm("spare", "b")
     state.on_vms((*state.vms.values(), spare), NOW)
     board = state.boards["b"]
@@ -356,7 +355,7 @@
     assert closing.closing.pool == "off"
 
 
-def test_a_vm_that_can_not_be_emptied_is_opened_again(state):
+def test_vm_that_cannot_be_drained_is_reopened(state):
     state.on_closing(record.Closing("w-a0", "a0", 0, "b"), NOW)
 
     late = NOW + demand.DRAIN_TIMEOUT_SECONDS + 0.1
@@ -364,20 +363,20 @@
     assert demand.plan_moves(state, late) == [core.Open("w-a0")]
 
 
-def test_a_vm_being_vacated_moves_once_it_is_empty(state):
+def test_draining_vm_moves_once_it_is_empty(state):
     state.on_closing(record.Closing("w-a0", "a0", 0, "b"), NOW)
-    empty(state, "w-a0")
+    mark_empty(state, "w-a0")
 
     assert demand.plan_moves(state, NOW) == [core.Move("a0", "b", "w-a0")]
 
 
-def test_an_unclosed_vm_is_never_taken_for_empty(state):
-    empty(state, "w-a0")
+def test_vm_that_is_not_closed_never_counts_as_empty(state):
+    mark_empty(state, "w-a0")
 
     assert not state.is_empty(state.vms["a0"])
 
 
-def test_rows_of_ended_lives_are_kept_for_a_new_leader_of_the_pool(state):
+def test_rows_of_ended_workers_are_retained_for_new_pool_leader(state):
     state.on_closing(record.Closing("old", "a0", 1, "", True), NOW)
 
     assert state.list_expired_closings(NOW + 1) == []
@@ -387,20 +386,20 @@
     assert not state.is_closing("a0")
 
 
-def test_only_the_vms_an_earlier_leader_ordered_about_are_left_alone(state):
-    order_wave(state, ["a0", "a1"])
-    close(state, "a0", "a1")
-    empty(state, "w-a0", "w-a1")
+def test_only_vms_ordered_about_by_earlier_leader_are_blocked(state):
+    start_wave(state, ["a0", "a1"])
+    close_workers(state, "a0", "a1")
+    mark_empty(state, "w-a0", "w-a1")
     state.on_order_by_earlier_leader("a0", NOW + 2.0)
 
-    early = pick(wave.plan_waves(state, NOW, UPKEEP), core.Maintain)
-    later = pick(wave.plan_waves(state, NOW + 2.0, UPKEEP), core.Maintain)
+    early = select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Maintain)
+    later = select(wave.plan_waves(state, NOW + 2.0, MAINTENANCE_S), core.Maintain)
 
-    assert [one.vm for one in early] == ["a1"]
-    assert [one.vm for one in later] == ["a0", "a1"]
+    assert [order.vm for order in early] == ["a1"]
+    assert [order.vm for order in later] == ["a0", "a1"]
 
 
-def test_rows_keep_closings_and_waves():
+def test_closing_and_wave_rows_round_trip():
     closing = record.Closing("w", "v", 3, "p", True)
     progress = record.WaveRecord(frozenset({"x"}), {"v": "w"}, frozenset({"v"}))
 
@@ -409,66 +408,68 @@
 
 
 @pytest.fixture
-def fresh():
-    """A leader of moves that hasn't heard of any VM."""
+def empty_state():
+    """Return the state of a fleet leader that knows no VM."""
     return core.FleetState(NOW - 10)
 
 
-def test_a_lost_rack_of_twenty_is_told_by_the_next_list_of_vms(fresh):
-    """Tasks of a rack that went dark began again only when leases had run out.
+def test_workers_of_lost_rack_end_with_next_list_of_vms(empty_state):
+    """Tasks of a lost rack were restarted only after their leases expired.
 
-    What was seen: 182 jobs of one burst 3.9 s late each, 3.8 s after the loss of 20 of
-    50 VMs. The platform lists such VMs as down.
+    When 20 of 50 VMs were lost, 182 jobs of one burst were 3.9 s late each, 3.8 s after
+    the loss. The platform lists such VMs as down.
     """
     rack = [make_vm(f"a{n}", worker=f"w-a{n}") for n in range(20)]
     others = [make_vm(f"b{n}", "b") for n in range(5)]
-    fresh.on_vms((*rack, *others), NOW)
-    down = [one._replace(state=fleet.VmState.DOWN, worker="") for one in rack]
-    fresh.on_vms((*down, *others), NOW + 0.3)
+    empty_state.on_vms((*rack, *others), NOW)
+    down = [vm._replace(state=fleet.VmState.DOWN, worker="") for vm in rack]
+    empty_state.on_vms((*down, *others), NOW + 0.3)
 
-    lost = fresh.list_ended_workers()
+    lost = empty_state.list_ended_workers()
 
-    assert {one.worker for one in lost} == {f"w-a{n}" for n in range(20)}
-    assert all(one.ended for one in lost)
-    for one in lost:
-        fresh.on_closing(one, NOW + 0.3)
-    assert fresh.list_ended_workers() == []
+    assert {closing.worker for closing in lost} == {f"w-a{n}" for n in range(20)}
+    assert all(closing.ended for closing in lost)
+    for closing in lost:
+        empty_state.on_closing(closing, NOW + 0.3)
+    assert empty_state.list_ended_workers() == []
 
 
 @pytest.mark.parametrize("listed", [fleet.VmState.MOVING, fleet.VmState.UPKEEP])
-def test_an_order_whose_answer_was_lost_is_told_as_the_end_of_its_life(fresh, listed):
-    """All daemons were lost as a move was ordered; its VM was waited out for 7.3 s."""
-    fresh.on_closing(record.Closing("w-a0", "a0", 0, "b"), NOW)
-    fresh.on_vms((make_vm("a0", state=listed, worker=""),), NOW + 0.3)
+def test_worker_ends_by_order_whose_answer_was_lost(empty_state, listed):
+    """After all daemons were lost during a move, its VM was waited for 7.3 s."""
+    empty_state.on_closing(record.Closing("w-a0", "a0", 0, "b"), NOW)
+    empty_state.on_vms((make_vm("a0", state=listed, worker=""),), NOW + 0.3)
 
-    assert [one.worker for one in fresh.list_ended_workers()] == ["w-a0"]
+    assert [closing.worker for closing in empty_state.list_ended_workers()] == ["w-a0"]
 
 
-def test_a_vm_that_a_list_leaves_out_is_not_told_as_lost(fresh):
-    """Its runs would start again beside themselves."""
-    fresh.on_vms((make_vm("a0"), make_vm("a1")), NOW)
-    fresh.on_vms((make_vm("a1"),), NOW + 0.3)
+def test_worker_of_vm_missing_from_list_has_not_ended(empty_state):
+    """Otherwise its running tasks would be started a second time."""
+    empty_state.on_vms((make_vm("a0"), make_vm("a1")), NOW)
+    empty_state.on_vms((make_vm("a1"),), NOW + 0.3)
 
-    assert fresh.list_ended_workers() == []
+    assert empty_state.list_ended_workers() == []
 
 
-def test_a_life_that_is_listed_with_its_vm_up_goes_on(fresh):
-    close(fresh, "a0")
-    fresh.on_vms((make_vm("a0"), make_vm("a1", worker="")), NOW)
+def test_worker_of_vm_listed_as_up_has_not_ended(empty_state):
+    close_workers(empty_state, "a0")
+    empty_state.on_vms((make_vm("a0"), make_vm("a1", worker="")), NOW)
 
-    assert fresh.list_ended_workers() == []
+    assert empty_state.list_ended_workers() == []
 
 
-def test_only_the_life_that_was_lost_is_told_as_ended(fresh):
-    """The VM is back with another life, whose tasks go on."""
-    fresh.on_vms((make_vm("a0"),), NOW)
-    fresh.on_vms((make_vm("a0", state=fleet.VmState.DOWN, worker=""),), NOW + 0.3)
-    (lost,) = fresh.list_ended_workers()
-    fresh.on_closing(lost, NOW + 0.3)
-    fresh.on_vms((make_vm("a0", worker="w-next"),), NOW + 0.6)
+def test_only_lost_worker_has_ended(empty_state):
+    """The VM is back with another worker, whose tasks go on."""
+    empty_state.on_vms((make_vm("a0"),), NOW)
+    empty_state.on_vms((make_vm("a0", state=fleet.VmState.DOWN, worker=""),), NOW + 0.3)
+    (lost,) = empty_state.list_ended_workers()
+    empty_state.on_closing(lost, NOW + 0.3)
+    empty_state.on_vms((make_vm("a0", worker="w-next"),), NOW + 0.6)
 
     assert lost.worker == "w-a0"
-    assert fresh.list_ended_workers() == []
-    fresh.on_vms((make_vm("a0", worker="w-third"),), NOW + 0.9)
-    assert [one.worker for one in fresh.list_ended_workers()] == ["w-next"]
-    assert not fresh.is_closing("a0")
+    assert empty_state.list_ended_workers() == []
+    empty_state.on_vms((make_vm("a0", worker="w-third"),), NOW + 0.9)
+    assert [closing.worker for closing in empty_state.list_ended_workers()] == [
+        "w-next"
+    ]
+    assert not empty_state.is_closing("a0")
