--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -19,7 +19,9 @@
 
 def note_uncommitted_ends() -> None:
     """Tell workers that an end is noted before it is durable."""
-    vm.Vm.noted = property(lambda self: self.seen, lambda self, number: None)
+    vm.Vm.committed_end = property(
+        lambda self: self.processed_end, lambda self, number: None
+    )
 
 
 def skip_lapses() -> None:
@@ -86,12 +88,12 @@
 
 def accept_without_condition() -> None:
     """Accept a job whether or not a pool holds it."""
-    original = acceptance._plan_rows
+    original = acceptance._build_transaction
 
     def plan_rows(*given: Any) -> Any:
         return original(*given)._replace(conditions=())
 
-    acceptance._plan_rows = plan_rows
+    acceptance._build_transaction = plan_rows
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
--- a/wigeonhitch/leadership/task.py
+++ b/wigeonhitch/leadership/task.py
@@ -308,7 +308,7 @@
         self.leadership.on_members(members, version, now, store_time)
 
     async def _follow_owners(self) -> None:
-        times = feed.Times(
+        times = feed.FollowTiming(
             OWNERS_FEED_WAIT_SECONDS,
             OWNERS_FEED_WAIT_SECONDS + CALL_TIMEOUT_SECONDS,
             RETRY_SECONDS,
--- a/wigeonhitch/maintenance/core.py
+++ b/wigeonhitch/maintenance/core.py
@@ -21,7 +21,7 @@
 
 
 ARRIVAL_GRACE_SECONDS = 0.7
-"""Time from the arrival of a VM in a pool until tasks start on it and the pool's board
+"""Time from the arrival of a VM in a pool until tasks start on it and the pool's status
 shows the remaining unmet demand."""
 
 
@@ -84,7 +84,7 @@
         self.vms: dict[str, fleet.Vm] = {}
         self.listed_at = 0.0
         self.pools: dict[str, model.Pool] = {}
-        self.boards: dict[str, pool_record.Board] = {}
+        self.pool_statuses: dict[str, pool_record.PoolStatus] = {}
         self.closings: dict[str, record.Closing] = {}
         self.closed_since: dict[str, float] = {}
         self.closed_at_version: dict[str, int] = {}
@@ -96,7 +96,7 @@
         self.moving: dict[str, Moving] = {}
         """VMs whose move was ordered and that have not arrived yet."""
         self.arrived: dict[str, Moving] = {}
-        """VMs that have just arrived in a pool and are not on its board yet."""
+        """VMs that have just arrived in a pool; its status doesn't include them yet."""
         self.initial_sizes: dict[str, int] = {}
         """Number of VMs that each pool had when it was first seen, as operators set
         it."""
@@ -185,12 +185,12 @@
         """Return whether no task runs on a VM and none will start."""
         if self.is_standby(vm.pool) or not vm.worker:
             return True
-        board = self.boards.get(vm.pool)
-        if board is None or vm.worker not in self.closings:
+        status = self.pool_statuses.get(vm.pool)
+        if status is None or vm.worker not in self.closings:
             return False
-        # Tasks may have started since a board that is older than the closing.
-        is_current = board.closings >= self.closed_at_version[vm.worker]
-        return is_current and vm.worker in board.empty
+        # A status older than the closing may miss tasks that have started since.
+        is_current = status.closings >= self.closed_at_version[vm.worker]
+        return is_current and vm.worker in status.empty
 
     def list_ended_workers(self) -> list[record.Closing]:
         """Return the workers that have ended and are not marked so yet.
--- a/wigeonhitch/maintenance/demand.py
+++ b/wigeonhitch/maintenance/demand.py
@@ -125,16 +125,16 @@
     actions = []
     size = _find_max_vm_millicores(state)
     lenders = _list_pools_below_initial_size(state)
-    for pool, board in state.boards.items():
-        spare = board.idle - size - IDLE_RESERVE_MILLICORES
-        if not standby or board.unmet or spare < 0 or not board.bare:
+    for pool, status in state.pool_statuses.items():
+        spare = status.idle - size - IDLE_RESERVE_MILLICORES
+        if not standby or status.unmet or spare < 0 or not status.bare:
             state.idle_since.pop(pool, None)
             continue
         since = state.idle_since.setdefault(pool, now)
         if now - since < IDLE_BEFORE_STANDBY_SECONDS:
             continue
         count = min(1 + spare // max(1, size), _count_surplus(state, pool))
-        for vm in _list_available(state, pool, board.bare)[: max(0, count)]:
+        for vm in _list_available(state, pool, status.bare)[: max(0, count)]:
             target = lenders.pop(0) if lenders else standby
             actions.append(core.Close(record.Closing(vm.worker, vm.id, 0, target)))
     return actions
@@ -143,7 +143,7 @@
 def _list_pools_below_initial_size(state: core.FleetState) -> list[str]:
     """Return the pools below their initial size, once for each missing VM."""
     pools = []
-    for pool in state.boards:
+    for pool in state.pool_statuses:
         if pool in state.pools and not state.is_standby(pool):
             deficit = -_count_surplus(state, pool) - len(_list_incoming(state, pool))
             pools.extend([pool] * max(0, deficit))
@@ -180,10 +180,14 @@
 def _list_needs(state: core.FleetState) -> list[tuple[str, int]]:
     """Return the pools that could use more VMs with their numbers, largest first."""
     needs = []
-    for pool, board in state.boards.items():
+    for pool, status in state.pool_statuses.items():
         if pool not in state.pools or state.is_standby(pool):
             continue
-        missing = max(board.unmet, board.wanted - board.room, _compute_backlog(board))
+        missing = max(
+            status.unmet,
+            status.peak_demand - status.batch_capacity,
+            _compute_backlog(status),
+        )
         count = _count_missing(state, pool, missing)
         if count > 0:
             needs.append((pool, count))
@@ -201,14 +205,16 @@
 
 def _count_urgent(state: core.FleetState, pool: str) -> int:
     """Return the number of VMs without which a pool's work can't be in time."""
-    board = state.boards[pool]
-    missing = max(board.least - board.room, _compute_backlog(board))
+    status = state.pool_statuses[pool]
+    missing = max(status.min_demand - status.batch_capacity, _compute_backlog(status))
     return _count_missing(state, pool, missing)
 
 
-def _compute_backlog(board: pool_record.Board) -> int:
+def _compute_backlog(status: pool_record.PoolStatus) -> int:
     """Return the millicores needed for the backlog of a burst."""
-    return round(BACKLOG_FACTOR * max(0, board.arriving - board.room))
+    return round(
+        BACKLOG_FACTOR * max(0, status.arriving_demand - status.batch_capacity)
+    )
 
 
 def _find_max_vm_millicores(state: core.FleetState) -> int:
@@ -247,8 +253,8 @@
     VMs without tasks come first, including lendable ones: the others must end their
     tasks, which takes up to 4 s. Listed once per round for all requesting pools.
     """
-    pools = [pool for pool in state.boards if not state.is_standby(pool)]
-    bare = {worker for pool in pools for worker in state.boards[pool].bare}
+    pools = [pool for pool in state.pool_statuses if not state.is_standby(pool)]
+    bare = {worker for pool in pools for worker in state.pool_statuses[pool].bare}
     surplus = [vm for pool in pools for vm in _list_surplus(state, pool)]
     lendable = [vm for pool in pools for vm in _list_lendable(state, pool)]
     idle = [vm for vm in surplus if vm.worker in bare]
@@ -277,23 +283,25 @@
     (fifteen days with faults, 30 VMs of 64 cores). It relies on bursts being detected
     from submitted jobs: without that, a lender detects its own burst too late.
     """
-    board = state.boards[pool]
+    status = state.pool_statuses[pool]
     size = _find_max_vm_millicores(state)
     surplus = _count_surplus(state, pool)
     if (
         surplus > 0
-        or board.unmet
-        or board.room - board.least < LENDING_RESERVE_VMS * size
+        or status.unmet
+        or status.batch_capacity - status.min_demand < LENDING_RESERVE_VMS * size
     ):
         return []
     count = state.initial_sizes.get(pool, 0) // LENDING_DIVISOR + surplus
-    return _list_available(state, pool, board.bare)[: max(0, count)]
+    return _list_available(state, pool, status.bare)[: max(0, count)]
 
 
 def _list_surplus(state: core.FleetState, pool: str) -> list[fleet.Vm]:
     """Return the VMs beyond its initial size without which a pool is still in time."""
-    board = state.boards[pool]
-    available = _list_available(state, pool, board.light)
+    status = state.pool_statuses[pool]
+    available = _list_available(state, pool, status.light)
     size = max(1, _find_max_vm_millicores(state))
-    count = min((board.room - board.least) // size, _count_surplus(state, pool))
+    count = min(
+        (status.batch_capacity - status.min_demand) // size, _count_surplus(state, pool)
+    )
     return available[: max(0, count)]
--- a/wigeonhitch/maintenance/task.py
+++ b/wigeonhitch/maintenance/task.py
@@ -21,11 +21,11 @@
 """Interval between two rounds: a fifth of the time that a move takes."""
 
 MIN_ROUND_INTERVAL_SECONDS = 0.05
-"""Interval between two rounds after a pool's board has changed."""
+"""Interval between two rounds after a pool's status has changed."""
 
-BOARD_FEED_WAIT_SECONDS = 1.0
-"""Time that the feed of boards waits for changes; a silent connection is detected after
-it."""
+STATUS_FEED_WAIT_SECONDS = 1.0
+"""Time that the feed of pool statuses waits for changes; a silent connection is
+detected after it."""
 
 CALL_TIMEOUT_SECONDS = 1.0
 """Timeout of one call."""
@@ -87,7 +87,7 @@
         with self._scope:
             await self._load()
             async with anyio.create_task_group() as group:
-                group.start_soon(self._follow_boards)
+                group.start_soon(self._follow_pool_statuses)
                 while not self.deposed:
                     self._wake = anyio.Event()
                     if self.deps.may_order():
@@ -138,36 +138,36 @@
                 return read
             await anyio.sleep(ROUND_INTERVAL_SECONDS)
 
-    async def _follow_boards(self) -> None:
+    async def _follow_pool_statuses(self) -> None:
         await feed.follow(
             self.deps.store,
-            pool_record.BOARD_TABLE,
-            self._read_boards,
-            self._apply_boards,
-            feed.Times(
-                BOARD_FEED_WAIT_SECONDS,
-                BOARD_FEED_WAIT_SECONDS + CALL_TIMEOUT_SECONDS / 2,
+            pool_record.STATUS_TABLE,
+            self._read_pool_statuses,
+            self._apply_pool_statuses,
+            feed.FollowTiming(
+                STATUS_FEED_WAIT_SECONDS,
+                STATUS_FEED_WAIT_SECONDS + CALL_TIMEOUT_SECONDS / 2,
                 ROUND_INTERVAL_SECONDS,
             ),
         )
 
-    async def _read_boards(self) -> int:
-        """Read each pool's board; return the version to follow from, or 0."""
+    async def _read_pool_statuses(self) -> int:
+        """Read each pool's status; return the version to follow from, or 0."""
         pools = [pool.name for pool in self.state.pools.values()]
-        return await feed.read_parts(self._read_board, pools)
+        return await feed.read_parts(self._read_pool_status, pools)
 
-    async def _read_board(self, pool: str) -> rows.Range:
+    async def _read_pool_status(self, pool: str) -> rows.Range:
         read = await self.deps.store.read(
-            pool_record.BOARD_TABLE, pool, timeout=CALL_TIMEOUT_SECONDS
+            pool_record.STATUS_TABLE, pool, timeout=CALL_TIMEOUT_SECONDS
         )
         if read.outcome is table.Outcome.DONE:
-            self._apply_boards(read.rows)
+            self._apply_pool_statuses(read.rows)
         return read
 
-    def _apply_boards(self, changed: tuple[rows.Row, ...]) -> None:
+    def _apply_pool_statuses(self, changed: tuple[rows.Row, ...]) -> None:
         for row in changed:
             if row.value is not None:
-                self.state.boards[row.part] = pool_record.read_board(row.value)
+                self.state.pool_statuses[row.part] = pool_record.read_status(row.value)
                 self._wake.set()
 
     async def _commit(self, writes: list[rows.Write]) -> int:
@@ -245,7 +245,9 @@
     async def _list_vms(self) -> None:
         requested_at = http.read_clock()
         is_active = self.state.closings or self.state.moving or self._has_open_wave()
-        has_unmet_demand = any(board.unmet for board in self.state.boards.values())
+        has_unmet_demand = any(
+            status.unmet for status in self.state.pool_statuses.values()
+        )
         if (
             not (is_active or has_unmet_demand)
             and requested_at - self.state.listed_at < IDLE_LIST_INTERVAL_SECONDS
--- a/wigeonhitch/maintenance/tests/test_decisions.py
+++ b/wigeonhitch/maintenance/tests/test_decisions.py
@@ -30,7 +30,7 @@
     listed += [make_vm(f"off{n}", "off", worker="") for n in range(2)]
     state.on_vms(tuple(listed), NOW)
     for pool in "ab":
-        state.boards[pool] = pool_record.Board({}, 0, 20000)
+        state.pool_statuses[pool] = pool_record.PoolStatus({}, 0, 20000)
     return state
 
 
@@ -45,8 +45,8 @@
 
 def mark_empty(state, *workers):
     for pool in "ab":
-        board = state.boards[pool]
-        state.boards[pool] = board._replace(empty=workers)
+        status = state.pool_statuses[pool]
+        state.pool_statuses[pool] = status._replace(empty=workers)
 
 
 def close_workers(state, *vms):
@@ -169,14 +169,14 @@
 
 def test_pool_in_burst_is_not_drained_until_wave_is_urgent(state):
     start_wave(state, ["a0"])
-    state.boards["a"] = state.boards["a"]._replace(unmet=64000)
+    state.pool_statuses["a"] = state.pool_statuses["a"]._replace(unmet=64000)
 
     assert select(wave.plan_waves(state, NOW, MAINTENANCE_S), core.Close) == []
     assert select(wave.plan_waves(state, NOW + 20, MAINTENANCE_S), core.Close)
 
 
 def test_burst_takes_standby_vms_at_once(state):
-    state.boards["a"] = state.boards["a"]._replace(unmet=64000, idle=0)
+    state.pool_statuses["a"] = state.pool_statuses["a"]._replace(unmet=64000, idle=0)
 
     moves = select(demand.plan_moves(state, NOW), core.Move)
 
@@ -185,8 +185,10 @@
 
 
 def test_burst_detected_from_submitted_jobs_takes_vms_before_pool_is_full(state):
-    board = state.boards["a"]
-    state.boards["a"] = board._replace(wanted=256000, least=100000, room=192000)
+    status = state.pool_statuses["a"]
+    state.pool_statuses["a"] = status._replace(
+        peak_demand=256000, min_demand=100000, batch_capacity=192000
+    )
 
     moves = select(demand.plan_moves(state, NOW), core.Move)
 
@@ -198,9 +200,17 @@
     extra = [make_vm(f"x{n}", "b") for n in range(6)]
     state.on_vms((*state.vms.values(), *extra), NOW)
     light = tuple(f"w-x{n}" for n in range(6))
-    state.boards["a"] = pool_record.Board({}, wanted=350000, least=350000, room=192000)
-    state.boards["b"] = pool_record.Board(
-        {}, 0, 0, light=light, wanted=380000, least=192000, room=384000
+    state.pool_statuses["a"] = pool_record.PoolStatus(
+        {}, peak_demand=350000, min_demand=350000, batch_capacity=192000
+    )
+    state.pool_statuses["b"] = pool_record.PoolStatus(
+        {},
+        0,
+        0,
+        light=light,
+        peak_demand=380000,
+        min_demand=192000,
+        batch_capacity=384000,
     )
 
     closed = select(demand.plan_moves(state, NOW), core.Close)
@@ -213,7 +223,7 @@
     listed = list(state.vms.values())
     listed += [make_vm(f"off{n}", "off", worker="") for n in range(2, 28)]
     state.on_vms(tuple(listed), NOW)
-    state.boards["a"] = pool_record.Board({}, 40 * 32000, 0)
+    state.pool_statuses["a"] = pool_record.PoolStatus({}, 40 * 32000, 0)
 
     moves = select(demand.plan_moves(state, NOW), core.Move)
 
@@ -226,7 +236,7 @@
     state.max_concurrent_moves = demand.compute_max_concurrent_moves(orders_per_second)
     spare = [make_vm(f"off{n}", "off", worker="") for n in range(105)]
     state.on_vms(tuple(spare), NOW)
-    state.boards["a"] = pool_record.Board({}, 200 * ROOM.cpu)
+    state.pool_statuses["a"] = pool_record.PoolStatus({}, 200 * ROOM.cpu)
 
     assert len(select(demand.plan_moves(state, NOW), core.Move)) == sent
 
@@ -235,16 +245,24 @@
     """The pool lacks the capacity of one VM, so three VMs are moved to it."""
     more = [make_vm(f"off{n}", "off", worker="") for n in range(2, 6)]
     state.on_vms((*state.vms.values(), *more), NOW)
-    state.boards["a"] = pool_record.Board(
-        {}, wanted=100000, least=100000, room=192000, arriving=224000
+    state.pool_statuses["a"] = pool_record.PoolStatus(
+        {},
+        peak_demand=100000,
+        min_demand=100000,
+        batch_capacity=192000,
+        arriving_demand=224000,
     )
 
     assert len(select(demand.plan_moves(state, NOW), core.Move)) == 3
 
 
 def test_burst_within_pool_capacity_requests_no_vms(state):
-    state.boards["a"] = pool_record.Board(
-        {}, wanted=180000, least=100000, room=192000, arriving=180000
+    state.pool_statuses["a"] = pool_record.PoolStatus(
+        {},
+        peak_demand=180000,
+        min_demand=100000,
+        batch_capacity=192000,
+        arriving_demand=180000,
     )
 
     assert demand.plan_moves(state, NOW) == []
@@ -253,21 +271,29 @@
 def test_idle_vms_are_taken_before_busy_ones(state):
     extra = [make_vm(f"x{n}", "b") for n in range(2)]
     state.on_vms((*state.vms.values(), *extra), NOW)
-    set_burst_in_a(state, room=256000, bare=0)
+    set_burst_in_a(state, batch_capacity=256000, bare=0)
     light, bare = ("w-x0", "w-x1"), ("w-x1",)
-    state.boards["b"] = state.boards["b"]._replace(light=light, bare=bare)
+    state.pool_statuses["b"] = state.pool_statuses["b"]._replace(light=light, bare=bare)
 
     closed = select(demand.plan_moves(state, NOW), core.Close)
 
     assert [action.closing.vm for action in closed] == ["x1", "x0"]
 
 
-def set_burst_in_a(state, *, room=192000, least=0, bare=6, unmet=0):
-    """Set boards of pool a in a burst beyond its capacity, and of b between bursts."""
-    state.boards["a"] = pool_record.Board({}, 320000, wanted=640000, least=640000)
+def set_burst_in_a(state, *, batch_capacity=192000, min_demand=0, bare=6, unmet=0):
+    """Set the status of pool a to a burst beyond its capacity, and of b to idle."""
+    state.pool_statuses["a"] = pool_record.PoolStatus(
+        {}, 320000, peak_demand=640000, min_demand=640000
+    )
     light = tuple(f"w-b{n}" for n in range(bare))
-    state.boards["b"] = pool_record.Board(
-        {}, unmet, room, light=light, bare=light, least=least, room=room
+    state.pool_statuses["b"] = pool_record.PoolStatus(
+        {},
+        unmet,
+        batch_capacity,
+        light=light,
+        bare=light,
+        min_demand=min_demand,
+        batch_capacity=batch_capacity,
     )
 
 
@@ -287,14 +313,14 @@
     more = [make_vm(f"b{n}", "b") for n in range(6, 33)]
     state.on_vms((*state.vms.values(), *more), NOW)
     state.initial_sizes["b"] = 33
-    set_burst_in_a(state, room=33 * 32000, bare=33)
+    set_burst_in_a(state, batch_capacity=33 * 32000, bare=33)
 
     assert len(select(demand.plan_moves(state, NOW), core.Close)) == 11
 
 
 @pytest.mark.parametrize(
     "fields",
-    [{"least": 100000}, {"unmet": 4000}, {"bare": 0}],
+    [{"min_demand": 100000}, {"unmet": 4000}, {"bare": 0}],
     ids=["needs its room", "misses room itself", "runs something everywhere"],
 )
 def test_pool_keeps_vms_that_it_needs_in_burst_of_another(state, fields):
@@ -307,7 +333,9 @@
     listed = [vm for vm in state.vms.values() if vm.id != "b0"]
     state.on_vms((*listed, make_vm("b0", "a"), make_vm("spare", "a")), NOW)
     bare = ("w-b0", "w-spare")
-    state.boards["a"] = pool_record.Board({}, 0, 96000, bare=bare, room=256000)
+    state.pool_statuses["a"] = pool_record.PoolStatus(
+        {}, 0, 96000, bare=bare, batch_capacity=256000
+    )
     demand.plan_moves(state, NOW)
 
     closed = select(
@@ -334,10 +362,12 @@
 def test_surplus_vms_move_from_idle_pool_to_busy_one(state):
     spare = make_vm("spare", "b")
     state.on_vms((*state.vms.values(), spare), NOW)
-    board = state.boards["a"]
-    state.boards["a"] = board._replace(unmet=160000, idle=0, least=160000)
-    board = state.boards["b"]
-    state.boards["b"] = board._replace(idle=64000, room=64000, light=("w-spare",))
+    status = state.pool_statuses["a"]
+    state.pool_statuses["a"] = status._replace(unmet=160000, idle=0, min_demand=160000)
+    status = state.pool_statuses["b"]
+    state.pool_statuses["b"] = status._replace(
+        idle=64000, batch_capacity=64000, light=("w-spare",)
+    )
 
     (closing,) = select(demand.plan_moves(state, NOW), core.Close)
 
@@ -347,8 +377,8 @@
 def test_idle_surplus_vms_return_to_standby_after_delay(state):
     spare = make_vm("spare", "b")
     state.on_vms((*state.vms.values(), spare), NOW)
-    board = state.boards["b"]
-    state.boards["b"] = board._replace(idle=64000, bare=("w-spare",))
+    status = state.pool_statuses["b"]
+    state.pool_statuses["b"] = status._replace(idle=64000, bare=("w-spare",))
 
     assert demand.plan_moves(state, NOW) == []
     (closing,) = demand.plan_moves(state, NOW + demand.IDLE_BEFORE_STANDBY_SECONDS)
--- a/wigeonhitch/maintenance/tests/test_task.py
+++ b/wigeonhitch/maintenance/tests/test_task.py
@@ -44,11 +44,11 @@
         return fleet.OrderOutcome.DONE
 
 
-def write_board(store, pool, **fields):
-    """Write a board of a leader that knows all current closings."""
+def write_status(store, pool, **fields):
+    """Write the status of a pool whose leader knows all current closings."""
     fields = {"closings": store.version, **fields}
-    value = pool_record.write_board(pool_record.Board({}, **fields))
-    store.put(pool_record.BOARD_TABLE, pool, pool_record.BOARD_TABLE, value)
+    value = pool_record.write_status(pool_record.PoolStatus({}, **fields))
+    store.put(pool_record.STATUS_TABLE, pool, pool_record.STATUS_TABLE, value)
 
 
 def list_closed(store):
@@ -59,7 +59,7 @@
 @pytest.fixture
 def store():
     store = rowstore.RowStore()
-    write_board(store, "a", unmet=128000, wanted=128000, least=128000)
+    write_status(store, "a", unmet=128000, peak_demand=128000, min_demand=128000)
     owner = leader_record.Owner(FLEET, "d", "life", 1, 0, 0.0)
     value = leader_record.write_owner(owner)
     store.put(leader_record.OWNER_TABLE, FLEET, leader_record.OWNER_KEY, value)
@@ -170,8 +170,8 @@
     machines.move_seconds = 0.1
     store.put(record.HOME_TABLE, FLEET, "b", b"40")
     light = tuple(f"w{n}" for n in range(80))
-    write_board(store, "a", wanted=9000000, least=9000000)
-    write_board(store, "b", light=light, room=80 * 64000)
+    write_status(store, "a", peak_demand=9000000, min_demand=9000000)
+    write_status(store, "b", light=light, batch_capacity=80 * 64000)
 
     await run_leader(store, machines, 0.3)
 
@@ -201,7 +201,7 @@
         closing = record.Closing(f"w-{name}", name, 0, "a")
         value = record.write_closing(closing)
         store.put(record.CLOSING_TABLE, FLEET, closing.worker, value)
-    write_board(store, "b", empty=tuple(f"w-{name}" for name in names))
+    write_status(store, "b", empty=tuple(f"w-{name}" for name in names))
 
     await run_leader(store, machines, 1.0)
 
@@ -261,7 +261,7 @@
     store.put(record.WAVE_TABLE, FLEET, "1", record.write_wave(wave))
     closing = record.write_closing(record.Closing("second", "vm", 1))
     store.put(record.CLOSING_TABLE, FLEET, "second", closing)
-    write_board(store, "a", empty=("second",))
+    write_status(store, "a", empty=("second",))
     return MaintainedVm()
 
 
@@ -312,16 +312,16 @@
 
 
 @pytest.mark.anyio
-async def test_board_older_than_closing_does_not_show_vm_as_empty(store, machines):
+async def test_status_older_than_closing_does_not_show_vm_as_empty(store, machines):
     """A VM was moved while tasks ran on it.
 
     It had been drained, shown as empty and reopened, and took tasks; then it was closed
-    again, and the board from before still showed it as empty. A board states up to
+    again, and the status from before still showed it as empty. A status tells up to
     which version of the store its leader knew the closings, and counts only for those.
     """
     up = fleet.VmState.UP
     machines.vms = [fleet.Vm("vm", "b", up, "dc", (), ROOM, "w")]
-    write_board(store, "b", empty=("w",))
+    write_status(store, "b", empty=("w",))
     closing = record.write_closing(record.Closing("w", "vm", 0, "a"))
     store.put(record.CLOSING_TABLE, FLEET, "w", closing)
 
@@ -331,12 +331,12 @@
 
 
 @pytest.mark.anyio
-async def test_vm_is_moved_once_board_includes_its_closing(store, machines):
+async def test_vm_is_moved_once_status_includes_its_closing(store, machines):
     up = fleet.VmState.UP
     machines.vms = [fleet.Vm("vm", "b", up, "dc", (), ROOM, "w")]
     closing = record.write_closing(record.Closing("w", "vm", 0, "a"))
     store.put(record.CLOSING_TABLE, FLEET, "w", closing)
-    write_board(store, "b", empty=("w",))
+    write_status(store, "b", empty=("w",))
 
     await run_leader(store, machines, 0.5)
 
--- a/wigeonhitch/maintenance/wave.py
+++ b/wigeonhitch/maintenance/wave.py
@@ -174,15 +174,15 @@
 def _sort_key(
     state: core.FleetState, wave: entries.WaveOrder, vm: fleet.Vm, now: float
 ) -> tuple[bool, int, str]:
-    board = state.boards.get(vm.pool)
-    unmet = board.unmet if board else 0
-    idle = board.idle if board else 0
+    status = state.pool_statuses.get(vm.pool)
+    unmet = status.unmet if status else 0
+    idle = status.idle if status else 0
     return (not state.is_standby(vm.pool), unmet - idle, vm.id)
 
 
 def _has_unmet_demand(state: core.FleetState, pool: str) -> bool:
-    board = state.boards.get(pool)
-    return board is not None and board.unmet > 0
+    status = state.pool_statuses.get(pool)
+    return status is not None and status.unmet > 0
 
 
 def _is_urgent(state: core.FleetState, wave: entries.WaveOrder, now: float) -> bool:
