--- a/wigeonhitch/maintenance/task.py
+++ b/wigeonhitch/maintenance/task.py
@@ -35,8 +35,8 @@
 takes 0.3 s. A successor counts the gap between orders from the end of this time."""
 
 MAX_ROWS_PER_TRANSACTION = 50
-"""Maximum number of VMs in one transaction. The store takes 100 entries in one, so a
-larger round of orders on a large site would never be recorded in a single one."""
+"""Maximum number of VMs in one transaction. The store takes at most 100 entries in
+one, so a larger round of orders written at once would never be recorded."""
 
 IDLE_LIST_INTERVAL_SECONDS = 2.0
 """Interval at which VMs are listed while no order or wave is in progress."""
