--- a/wigeonhitch/pool/ledger.py
+++ b/wigeonhitch/pool/ledger.py
@@ -160,7 +160,7 @@
             )
         for one in rows.list_gone(batch.transaction.conditions, change.conflicts):
             self._update_version(one.table, one.key, 0)
-        self._forget_gone(batch.dropped)
+        self._drop_removed_rows(batch.dropped)
         settled = tuple(
             row.key
             for row in change.conflicts
@@ -179,7 +179,7 @@
         elif table == pool_record.ROSTER_TABLE:
             self._roster.pop(key, None)
 
-    def _forget_gone(self, spent: Iterable[str]) -> None:
+    def _drop_removed_rows(self, spent: Iterable[str]) -> None:
         """Drop removals that were done without an answer.
 
         Their rows don't exist any more. One that stayed would let every later
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -127,7 +127,7 @@
                 self._finalize_cancelled(state)
                 continue
             self._open_tasks[id] = list(state.list_open_tasks(wall_time))
-            self._sort_inputs[id] = self.pool.get_figures(state)
+            self._sort_inputs[id] = self.pool.get_sort_inputs(state)
             if state.job.times and (when := state.compute_next_due(wall_time)):
                 self._next_due[id] = when
 
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -320,7 +320,7 @@
             return False
         return not state.is_done(run.task)
 
-    def get_figures(self, state: progress.Progress) -> priority.SortInputs:
+    def get_sort_inputs(self, state: progress.Progress) -> priority.SortInputs:
         """Return what a job's sort key is made of, also where its queue is gone."""
         queue = self.queues.get(state.job.queue)
         return priority.compute_sort_inputs(state, queue or state.job.terms)
--- a/wigeonhitch/site/tests/test_desk.py
+++ b/wigeonhitch/site/tests/test_desk.py
@@ -324,7 +324,7 @@
     pool = core.Pool("p", 1, 1, times, 0.0, lambda *given, **named: None)
     pool.on_job("j", read, 2, compaction.RowLocation(TABLE, PART))
 
-    figures = pool.get_figures(pool.jobs["j"])
+    figures = pool.get_sort_inputs(pool.jobs["j"])
 
     assert figures.due == read.accepted + 3.0
 
