--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -62,7 +62,7 @@
 
 def stand_still_at_gone_rows() -> None:
     """Expect rows that a lost answer hid the removal of, for ever."""
-    ledger.Ledger._drop_removed_rows = lambda self, spent: None
+    ledger.Ledger._drop_removed_rows = lambda self, dropped: None
     ledger.rows.list_gone = lambda conditions, found: ()
 
 
