--- a/wigeonhitch/jobs/model.py
+++ b/wigeonhitch/jobs/model.py
@@ -1,6 +1,6 @@
-"""Types of jobs, queues and pools, in the product's own words.
+"""Types of jobs, queues and pools.
 
-Times are in seconds, processors in thousandths of a core, memory in MB.
+Times are in seconds, processors in millicores, memory in MB.
 """
 
 import enum
@@ -24,16 +24,16 @@
 
 
 MAX_VALUE = 10**9
-"""Highest count, size or number of milliseconds in a job: far above any that
-can be served, and small enough for sums and rows."""
+"""Largest count, size or number of milliseconds accepted in a job: far above what
+any pool can serve, and small enough for sums and stored rows."""
 
 MAX_OPEN_TASKS = 5000
-"""Most tasks of a job over all steps and occurrences that are open at once; a
-leader keeps some bytes for each."""
+"""Largest number of tasks of a job that may be open at once, over all steps and
+occurrences: it bounds the memory of a leader, which keeps some bytes for each."""
 
 
 class JobState(enum.Enum):
-    """What a caller is told about a job."""
+    """State of a job as reported to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -43,7 +43,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the job can't change any more."""
+        """Whether the state can't change any more."""
         return self not in (JobState.QUEUED, JobState.RUNNING)
 
 
@@ -57,18 +57,18 @@
     BROKEN = "broken"
     """Another member of its gang ended."""
     ALONE = "alone"
-    """The other members of its gang didn't come in time."""
+    """The other members of its gang didn't start in time."""
 
 
 class Room(NamedTuple):
-    """What a task takes, or what a VM has."""
+    """Resources that a task reserves or that a VM has."""
 
     cpu: int = 0
     memory: int = 0
     gpus: int = 0
 
     def fits_in(self, other: "Room") -> bool:
-        """Whether ``other`` has at least this much of each."""
+        """Return whether ``other`` has at least this much of each resource."""
         return (
             self.cpu <= other.cpu
             and self.memory <= other.memory
@@ -77,7 +77,7 @@
 
 
 class Task(NamedTuple):
-    """Name of one task: the ``index``-th of a step of one occurrence of a job."""
+    """Identity of a task: the ``index``-th of a step of one occurrence of a job."""
 
     job: str
     occurrence: int
@@ -86,30 +86,31 @@
 
 
 class Step(NamedTuple):
-    """Tasks of one shape that may run side by side.
+    """Tasks with the same requirements that may run in parallel.
 
     Parameters
     ----------
     count : int
         Number of tasks.
     room : Room
-        What each task takes; a filling step's ``cpu`` isn't counted.
+        Resources of each task; the ``cpu`` of a filling step isn't reserved.
     estimate : float
-        Seconds that a task is thought to take, often far off.
+        Expected run time of a task in seconds, often far off.
     after : tuple of int
-        Earlier steps whose tasks must all be done first.
+        Earlier steps that must be complete first.
     label, data_rack : str
-        Label that the VM must have; rack near the data. Empty: any.
+        Label that the VM must have; rack that holds the data. Empty: any.
     spread : int
-        Most tasks of the step (of one occurrence) on one VM; 0: any number.
+        Maximum number of tasks of the step (of one occurrence) on one VM; 0: no
+        limit.
     lasting : bool
         The tasks run until the job is cancelled.
     fills : bool
-        The tasks take the processors that other tasks leave.
+        The tasks use the processor time that other tasks leave idle.
     max_unavailable : int
-        Tasks of a lasting step that may be away through the system's doing.
+        Tasks of a lasting step that the scheduler may make unavailable at once.
     target : float
-        Bound of the tail of response times of a serving task; 0: none.
+        Target in seconds for the tail latency of a serving task; 0: none.
     """
 
     count: int
@@ -131,12 +132,12 @@
 
     @property
     def reserved(self) -> Room:
-        """What placement subtracts from a VM's free room."""
+        """Resources that placement subtracts from a VM's free room."""
         return self.room._replace(cpu=0) if self.fills else self.room
 
 
 class Terms(NamedTuple):
-    """What a queue promises for a job, as at its acceptance; see `Queue`."""
+    """Terms of a queue for a job, as of its acceptance; see `Queue`."""
 
     priority: int = 0
     stretch: float = 1.0
@@ -151,7 +152,7 @@
     times : int
         Occurrences of a scheduled job; 0 for a job without occurrences.
     first_due, interval : float
-        Seconds since 1970 of occurrence 0, and seconds from one to the next.
+        Unix time of occurrence 0, and seconds from one occurrence to the next.
     """
 
     id: str
@@ -162,12 +163,12 @@
     first_due: float = 0.0
     interval: float = 0.0
     attempts: int = 1
-    """Failed runs that a task may have, as the queue said at the submission:
-    holds once the queue is no longer in the configuration."""
+    """Failed runs after which a task is not retried, as configured for the queue at
+    the submission; used once the queue is no longer in the configuration."""
     is_advised: bool = False
-    """Whether its tasks start with a ticket of the queue's policy; holds as above."""
+    """Whether its tasks need a ticket of the advice service; used as above."""
     terms: Terms = Terms()
-    """What its queue promised at the submission; holds as above."""
+    """Terms of its queue at the submission; used as above."""
 
     @property
     def occurrences(self) -> int:
@@ -176,26 +177,30 @@
 
     @property
     def is_lasting(self) -> bool:
-        """Whether the job only ends by being cancelled."""
+        """Whether the job ends only by cancellation."""
         return any(step.lasting for step in self.steps)
 
     def compute_critical_path(self) -> float:
-        """Return the seconds of the longest chain of steps, by estimates."""
+        """Return the estimated seconds of the longest chain of dependent steps."""
         ends: list[float] = []
         for step in self.steps:
-            before = max((ends[one] for one in step.after), default=0.0)
-            ends.append(before + step.estimate)
+            start = max((ends[number] for number in step.after), default=0.0)
+            ends.append(start + step.estimate)
         return max(ends, default=0.0)
 
     def compute_work(self) -> float:
-        """Return the core-seconds of one occurrence, by estimates."""
+        """Return the estimated core-seconds of one occurrence."""
         return sum(
             step.count * step.estimate * step.room.cpu / 1000 for step in self.steps
         )
 
 
 class Advice(NamedTuple):
-    """How long the advice service takes, and how long a ticket of it holds."""
+    """Response time of the advice service and validity of its tickets.
+
+    A call takes ``base`` seconds and ``per_vm`` seconds for each VM asked about; a
+    ticket is valid for ``validity`` seconds.
+    """
 
     base: float
     per_vm: float
@@ -205,7 +210,8 @@
 class Queue(NamedTuple):
     """One queue of the configuration in force.
 
-    ``objective`` is what is added to ``stretch`` times the longest chain.
+    A job is due ``stretch`` times its critical path plus ``objective`` seconds after
+    its acceptance.
     """
 
     name: str
@@ -221,12 +227,12 @@
 
 
 class Pool(NamedTuple):
-    """One pool of VMs; the VMs of a standby pool are off."""
+    """One pool of VMs; the VMs of a standby pool are powered off."""
 
     name: str
     standby: bool = False
     has_admission_control: bool = False
-    """Whether its workers refuse what doesn't fit."""
+    """Whether its workers refuse tasks that don't fit."""
 
 
 class Catalogue(NamedTuple):
@@ -236,4 +242,4 @@
     queues: tuple[Queue, ...]
     pools: tuple[Pool, ...]
     body_limit: int = 262144
-    """Bytes of a request's body."""
+    """Largest request body in bytes."""
--- a/wigeonhitch/jobs/progress.py
+++ b/wigeonhitch/jobs/progress.py
@@ -1,8 +1,8 @@
-"""How far one job has come: which tasks are done, failed, due.
+"""Progress of one job: which tasks are done, have failed or are due.
 
-Only what must survive the loss of a leader is kept here: tasks that ended
-done, the runs of a task that failed, and the newest checkpoints. Where runs
-are alive is the pool's belief, not the job's progress.
+Only state that must survive the loss of a leader is kept here: completed tasks,
+failed runs and the newest checkpoints. Which runs are alive is part of the leader's
+view of its pool, not of the job's progress.
 """
 
 from collections.abc import Iterator
@@ -18,11 +18,11 @@
     Parameters
     ----------
     job : model.Job
-        What was submitted.
+        The submitted job.
     version : int
-        Version of the job's row; a change of it is a cancellation.
+        Version of the job's row; it changes when the job is cancelled.
     accepted : float
-        Seconds since 1970 at its acceptance.
+        Unix time of its acceptance.
     """
 
     def __init__(self, job: model.Job, version: int, accepted: float) -> None:
@@ -39,27 +39,27 @@
         self.checkpoints: dict[model.Task, str] = {}
 
     def is_done(self, task: model.Task) -> bool:
-        """Whether a run of the task has ended done."""
+        """Return whether a run of the task has completed."""
         return task.index in self.done.get((task.occurrence, task.step), ())
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Whether all tasks of the step are done."""
+        """Return whether all tasks of the step are done."""
         done = self.done.get((occurrence, step), ())
         return len(done) >= self.job.steps[step].count
 
     def is_step_ready(self, occurrence: int, step: int) -> bool:
-        """Whether all steps that must come first are done."""
+        """Return whether all steps that it depends on are done."""
         after = self.job.steps[step].after
-        return all(self.is_step_done(occurrence, one) for one in after)
+        return all(self.is_step_done(occurrence, earlier) for earlier in after)
 
     def compute_due(self, occurrence: int) -> float:
-        """Return the seconds since 1970 at which an occurrence may start."""
+        """Return the Unix time at which an occurrence may start."""
         if not self.job.times:
             return 0.0
         return self.job.first_due + occurrence * self.job.interval
 
     def has_task(self, task: model.Task) -> bool:
-        """Whether the job has a task of that name."""
+        """Return whether the job has this task."""
         return (
             0 <= task.occurrence < self.job.occurrences
             and 0 <= task.step < len(self.job.steps)
@@ -67,10 +67,7 @@
         )
 
     def list_open_tasks(self, wall_time: float) -> Iterator[model.Task]:
-        """Yield the tasks that may run now, done ones left out.
-
-        ``wall_time`` is the time of day, seconds since 1970.
-        """
+        """Yield the tasks that may run at a Unix time and aren't done."""
         for occurrence in range(self.job.occurrences):
             if self.compute_due(occurrence) > wall_time:
                 return
@@ -85,7 +82,7 @@
                         yield model.Task(self.job.id, occurrence, number, index)
 
     def compute_next_due(self, wall_time: float) -> float | None:
-        """Return when the next occurrence falls due, if one is to come."""
+        """Return the Unix time of the next occurrence, or None after the last one."""
         for occurrence in range(self.job.occurrences):
             due = self.compute_due(occurrence)
             if due > wall_time:
@@ -93,9 +90,9 @@
         return None
 
     def record_done(self, task: model.Task) -> None:
-        """Take note that a run of the task ended done.
+        """Record that a run of the task completed.
 
-        One such end of a gang stands for all its members.
+        The completion of one member completes the whole gang.
         """
         step = self.job.steps[task.step]
         done = self.done.setdefault((task.occurrence, task.step), set())
@@ -105,18 +102,18 @@
             done.add(task.index)
 
     def record_failed(self, task: model.Task, run: int) -> None:
-        """Take note of a failed run; the same run counts once.
+        """Record a failed run; the same run counts once.
 
         All members of a gang share one count, kept under its first task.
         """
         self.failed_runs.setdefault(self._get_attempt_key(task), set()).add(run)
 
     def count_failed_runs(self, task: model.Task) -> int:
-        """Return how many runs of the task, or of its gang, failed."""
+        """Return the number of failed runs of the task or its gang."""
         return len(self.failed_runs.get(self._get_attempt_key(task), ()))
 
     def record_checkpoint(self, task: model.Task, checkpoint: str) -> None:
-        """Keep the newest checkpoint of a task; of a gang, one for all."""
+        """Keep the newest checkpoint of a task; a gang has one for all members."""
         if checkpoint:
             self.checkpoints[self._get_attempt_key(task)] = checkpoint
 
@@ -125,7 +122,7 @@
         return self.checkpoints.get(self._get_attempt_key(task), "")
 
     def is_complete(self) -> bool:
-        """Whether all tasks of all occurrences are done."""
+        """Return whether all tasks of all occurrences are done."""
         return all(
             self.is_step_done(occurrence, step)
             for occurrence in range(self.job.occurrences)
@@ -133,14 +130,14 @@
         )
 
     def is_exhausted(self, task: model.Task, max_attempts: int) -> bool:
-        """Whether the task may not be started again."""
+        """Return whether the task has used up its attempts."""
         if self.job.steps[task.step].lasting:
             return False
         return self.count_failed_runs(task) >= max_attempts
 
     @property
     def state(self) -> model.JobState:
-        """What a caller is told."""
+        """State as reported to callers."""
         if self.final is not None:
             return self.final
         if self.cancelled:
@@ -154,21 +151,21 @@
 
 
 def resolve_final_state(
-    noted: model.JobState, noted_at: int, cancelled_at: int
+    recorded: model.JobState, recorded_at: int, cancelled_at: int
 ) -> model.JobState:
-    """Return how a job has ended, where it may have been cancelled as well.
+    """Return the final state of a job that may have been cancelled as well.
 
-    What came first stays, so that nobody is shown two final states.
+    The earlier event wins, so that no caller sees two different final states.
 
     Parameters
     ----------
-    noted : model.JobState
-        The final state that its leader has noted.
-    noted_at : int
-        The store's version at which that became durable.
+    recorded : model.JobState
+        The final state that the leader has recorded.
+    recorded_at : int
+        The store's version at which that state became durable.
     cancelled_at : int
-        The version at which its row was marked as cancelled, 0 if it isn't.
+        The version at which the row was marked as cancelled, 0 if it wasn't.
     """
-    if 0 < cancelled_at < noted_at:
+    if 0 < cancelled_at < recorded_at:
         return model.JobState.CANCELLED
-    return noted
+    return recorded
--- a/wigeonhitch/jobs/record.py
+++ b/wigeonhitch/jobs/record.py
@@ -1,9 +1,9 @@
-"""The durable rows of jobs, as compact JSON.
+"""Durable rows of jobs, as compact JSON.
 
-Two rows a job: ``job`` holds what was submitted and is written at acceptance,
-when cancelled, and, some time after it is final, as the bare state;
-``progress`` holds what the leader has noted and is written with each group of
-ends, the final state too.
+Each job has two rows. ``job`` holds the submission; it is written at acceptance and
+at cancellation, and some time after the job is final it is replaced by the bare
+final state. ``progress`` holds what the leader has recorded; it is written with each
+batch of ended runs and holds the final state too.
 """
 
 from typing import Any, NamedTuple
@@ -36,10 +36,10 @@
 
 
 class JobRecord(NamedTuple):
-    """A job row as read: an open job, or only the final state of one.
+    """Content of a job row: an open job, or only the final state of one.
 
-    ``finished`` is the store's time in seconds at which it became final, ``pool`` the
-    pool that accepted it.
+    ``finished`` is the store's time in seconds when the row was reduced to the final
+    state, ``pool`` the pool that accepted the job.
     """
 
     job: model.Job | None
@@ -53,7 +53,7 @@
 def write_job(
     job: model.Job, pool: str, accepted: float, cancelled: bool = False
 ) -> bytes:
-    """Return the row of an open job; ``accepted`` in seconds since 1970."""
+    """Return the row of an open job; ``accepted`` is a Unix time."""
     row: dict[str, Any] = {
         "pool": pool,
         "queue": job.queue,
@@ -75,7 +75,7 @@
 
 
 def write_final(state: model.JobState, pool: str, finished: float) -> bytes:
-    """Return the row that is left of a job once it is final."""
+    """Return the row that replaces the job's row once the job is final."""
     row = {"pool": pool, "final": state.value, "finished": round(finished, 3)}
     return orjson.dumps(row)
 
@@ -86,7 +86,7 @@
     Raises
     ------
     ValueError, KeyError, TypeError
-        If the row isn't one that `write_job` or `write_final` wrote.
+        If the row wasn't written by `write_job` or `write_final`.
     """
     row = orjson.loads(value)
     if "final" in row:
@@ -94,21 +94,21 @@
         return JobRecord(None, 0.0, False, state, row["finished"], row["pool"])
     times, first_due, interval = row.get("times", (0, 0.0, 0.0))
     steps = tuple(_read_step(fields) for fields in row["steps"])
-    due = (times, first_due, interval)
+    schedule = (times, first_due, interval)
     terms = model.Terms(*row.get("terms", ()))
-    kept = (row.get("attempts", 1), row.get("advised", False), terms)
-    job = model.Job(id, row["queue"], row["spec"], steps, *due, *kept)
+    policy = (row.get("attempts", 1), row.get("advised", False), terms)
+    job = model.Job(id, row["queue"], row["spec"], steps, *schedule, *policy)
     cancelled = row.get("cancelled", False)
     return JobRecord(job, row["accepted"], cancelled, pool=row["pool"])
 
 
 def is_cancelled(value: bytes) -> bool:
-    """Whether a job row has the mark of a cancellation."""
+    """Return whether a job row is marked as cancelled."""
     return orjson.loads(value).get("cancelled", False)
 
 
 def write_progress(state: progress.Progress) -> bytes:
-    """Return the row of what was noted of a job; of a final one, its state."""
+    """Return the progress row of a job; once it is final, only its final state."""
     if state.final is not None:
         return orjson.dumps({"final": state.final.value})
     done = {
@@ -122,13 +122,13 @@
 
 
 def read_final(value: bytes) -> model.JobState | None:
-    """Return the final state in a progress row, or None while it is open."""
+    """Return the final state in a progress row, or None while the job is open."""
     final = orjson.loads(value).get("final")
     return model.JobState(final) if final else None
 
 
 def read_progress(state: progress.Progress, value: bytes) -> None:
-    """Put what a progress row says into ``state``."""
+    """Update ``state`` from a progress row."""
     state.final = read_final(value)
     state.is_final_durable = state.final is not None
     row = orjson.loads(value)
--- a/wigeonhitch/pool/compaction.py
+++ b/wigeonhitch/pool/compaction.py
@@ -1,9 +1,9 @@
-"""Rows of final jobs: shrunk to their state, and removed once kept long enough.
+"""Compaction of the rows of final jobs, and their removal after the retention time.
 
-A job's final state is durable with its progress row, in the leader's part. The
-job's own row lies in another part, so that accepting jobs doesn't wait for the
-leader's writes; it is replaced by the bare state later, when there is time, and
-the progress row then goes.
+A job's final state becomes durable in its progress row, in the leader's part. The
+job's own row is in another part, so that accepting jobs doesn't wait for the leader's
+writes. It is replaced by the bare state later, when the store is idle, and the
+progress row is removed then.
 """
 
 import collections
@@ -16,25 +16,25 @@
 __all__ = ["Compactor", "RowLocation"]
 
 MAX_ROWS_PER_TRANSACTION = 20
-"""Rows in one transaction."""
+"""Largest number of rows compacted in one transaction."""
 
 
 class RowLocation(NamedTuple):
-    """Table and part in which a job's row lies."""
+    """Table and part that hold a job's row."""
 
     table: str
     part: str
 
 
 class _FinalJob(NamedTuple):
-    place: RowLocation
+    location: RowLocation
     state: model.JobState
     version: int
-    noted_at: int
+    recorded_at: int
 
 
 class _CompactedRow(NamedTuple):
-    place: RowLocation
+    location: RowLocation
     version: int
     finished: float
 
@@ -48,7 +48,7 @@
 
 
 class Compactor:
-    """Final jobs of one pool whose rows are still to be tidied.
+    """Rows of one pool's final jobs that are to be compacted or removed.
 
     Parameters
     ----------
@@ -63,44 +63,50 @@
             collections.OrderedDict()
         )
         self._compacted_versions: dict[str, int] = {}
-        """Versions of rows that were shrunk and haven't been read since."""
+        """Versions of rows that were compacted and haven't been read since."""
 
     def add(
         self,
         id: str,
-        place: RowLocation,
+        location: RowLocation,
         state: model.JobState,
         version: int,
-        noted_at: int = 0,
+        recorded_at: int = 0,
     ) -> None:
-        """Note a final job, its row's version and that at which its end was noted."""
-        self._finals[id] = _FinalJob(place, state, version, noted_at)
+        """Schedule the compaction of a final job's row.
+
+        ``version`` is that of the row, ``recorded_at`` the store's version at which
+        the final state became durable.
+        """
+        self._finals[id] = _FinalJob(location, state, version, recorded_at)
 
     def on_final_row(
-        self, id: str, place: RowLocation, version: int, finished: float
+        self, id: str, location: RowLocation, version: int, finished: float
     ) -> None:
-        """Take a row that has been shrunk."""
-        self._compacted[id] = _CompactedRow(place, version, finished)
+        """Record a compacted row that was read."""
+        self._compacted[id] = _CompactedRow(location, version, finished)
         self._compacted_versions.pop(id, None)
 
     def is_waiting(self, id: str) -> bool:
-        """Whether a job's row is still to be shrunk."""
+        """Return whether a job's row is still to be compacted."""
         return id in self._finals
 
     def is_final(self, id: str, version: int) -> bool:
-        """Whether a job is final by what is known later than a version of its row."""
-        kept = self._compacted.get(id)
-        final = max(self._compacted_versions.get(id, 0), kept.version if kept else 0)
+        """Return whether a job is known to be final at a later version of its row."""
+        compacted = self._compacted.get(id)
+        final = max(
+            self._compacted_versions.get(id, 0), compacted.version if compacted else 0
+        )
         return self.is_waiting(id) or version < final
 
-    def collect(self, store_time: float, kept: float) -> Work | None:
-        """Return what to write next: rows of one part, or None."""
+    def collect(self, store_time: float, retention: float) -> Work | None:
+        """Return the next rows to write, all of one part, or None."""
         if self._finals:
             return self._compact(store_time)
-        return self._remove(store_time - kept)
+        return self._remove(store_time - retention)
 
     def on_result(self, work: Work, change: rows.Change) -> tuple[str, ...]:
-        """Take the answer; return the jobs whose progress rows may go."""
+        """Apply an answer; return the jobs whose progress rows may be removed."""
         if change.outcome is table.Outcome.DONE:
             for id in work.ids:
                 self._finals.pop(id, None)
@@ -112,47 +118,47 @@
         if change.reason != "conflict":
             return ()
         for row in change.conflicts:
-            self._learn_version(row)
+            self._update_version(row)
         gone = rows.list_gone(work.transaction.conditions, change.conflicts)
-        for one in gone:
-            self._finals.pop(one.key, None)
-            self._compacted.pop(one.key, None)
-        return () if work.removes else tuple(one.key for one in gone)
+        for condition in gone:
+            self._finals.pop(condition.key, None)
+            self._compacted.pop(condition.key, None)
+        return () if work.removes else tuple(condition.key for condition in gone)
 
     def _compact(self, store_time: float) -> Work:
-        place = next(iter(self._finals.values())).place
-        chosen = [one for one in self._finals.items() if one[1].place == place]
+        location = next(iter(self._finals.values())).location
+        chosen = [item for item in self._finals.items() if item[1].location == location]
         chosen = chosen[:MAX_ROWS_PER_TRANSACTION]
         conditions = []
         writes = []
         for id, final in chosen:
             value = record.write_final(final.state, self._pool, store_time)
-            conditions.append(rows.Condition(*place, id, final.version))
-            writes.append(rows.Write(*place, id, value))
+            conditions.append(rows.Condition(*location, id, final.version))
+            writes.append(rows.Write(*location, id, value))
         transaction = rows.Transaction(tuple(conditions), tuple(writes))
         return Work(transaction, tuple(id for id, _ in chosen), False)
 
     def _remove(self, before: float) -> Work | None:
-        for id, one in self._compacted.items():
-            if one.finished >= before:
+        for id, row in self._compacted.items():
+            if row.finished >= before:
                 return None
-            condition = rows.Condition(*one.place, id, one.version)
+            condition = rows.Condition(*row.location, id, row.version)
             removed = (
-                rows.Write(*one.place, id, None),
-                rows.Write(pool_record.HOLDER_TABLE, one.place.part, id, None),
+                rows.Write(*row.location, id, None),
+                rows.Write(pool_record.HOLDER_TABLE, row.location.part, id, None),
             )
             return Work(rows.Transaction((condition,), removed), (id,), True)
         return None
 
-    def _learn_version(self, row: rows.Row) -> None:
-        """Take the version of a row that was cancelled or shrunk meanwhile."""
+    def _update_version(self, row: rows.Row) -> None:
+        """Record the version of a row that was cancelled or compacted meanwhile."""
         final = self._finals.get(row.key)
         if final is not None:
             is_cancelled = row.value is not None and record.is_cancelled(row.value)
             state = progress.resolve_final_state(
-                final.state, final.noted_at, row.version if is_cancelled else 0
+                final.state, final.recorded_at, row.version if is_cancelled else 0
             )
             self._finals[row.key] = final._replace(state=state, version=row.version)
-        kept = self._compacted.get(row.key)
-        if kept is not None:
-            self._compacted[row.key] = kept._replace(version=row.version)
+        compacted = self._compacted.get(row.key)
+        if compacted is not None:
+            self._compacted[row.key] = compacted._replace(version=row.version)
--- a/wigeonhitch/pool/core.py
+++ b/wigeonhitch/pool/core.py
@@ -1,17 +1,17 @@
-"""What the leader of a pool believes, and how events change it.
+"""State of a pool's leader, and how answers of workers change it.
 
-No I/O and no clock: `task` feeds in rows, answers of workers and times. The
-promises kept here:
+No I/O and no clock: `runner` feeds in rows, answers of workers and times.
+Invariants:
 
-- One run of a task at a time. A run whose start got no answer may begin until
-  its own short deadline on the worker's clock; it is taken for not begun only
+- At most one run of a task at a time. A run whose start got no answer may begin
+  until its start deadline on the worker's clock; it counts as not started only
   when an answer with a later clock doesn't list it. A VM that doesn't answer
-  is taken for empty only when its clock has certainly passed every deadline
-  that it was given.
+  counts as empty only when its clock has certainly passed every deadline that
+  it was given.
 - After a takeover, a task that an earlier leader may have started waits until
-  every VM of the roster has answered under the new token or, unreachable, has
-  had the longest lease run out.
-- Numbers of runs rise over leaders: each leader has a range of its own.
+  every VM of the roster has answered under the new fencing token or, if it is
+  unreachable, the longest lease has expired.
+- Run numbers increase from leader to leader: each leader has its own range.
 """
 
 from wigeonhitch.jobs import model, progress
@@ -21,56 +21,57 @@
 __all__ = ["Pool"]
 
 MAX_ENDS_PER_REPLY = 500
-"""Most ends in one answer of a worker; with so many, more may be missing."""
+"""Largest number of ends in one answer of a worker; an answer with that many may
+leave out further ones."""
 
 RETRY_PAUSE = 0.25
-"""Seconds before a refused start is tried again: a fifth of the time that a
-small task takes, so that a bad VM doesn't take all starts."""
+"""Seconds before a refused start is retried: a fifth of the run time of a small
+task, so that a faulty VM doesn't attract all starts."""
 
 SHORT_RUN_SECONDS = 1.5
-"""Seconds of life below which the end of a lasting task speaks against its VM:
-they come to work in well under a second and last for many."""
+"""Run time in seconds below which the end of a lasting task counts against its VM:
+lasting tasks are ready in well under a second and run for many."""
 
 
 ADOPTION_GRACE_SECONDS = 0.5
-"""Seconds, beyond the time that a stop takes, after which a run that was taken
-over and is still listed isn't being stopped: an earlier leader's last orders
-are on their way for up to 0.25 s on a slow link."""
+"""Seconds, beyond the time that a stop takes, after which an adopted run that is
+still listed is not being stopped: the last orders of an earlier leader are in
+flight for up to 0.25 s on a slow link."""
 
 
 class Pool(view.PoolView):
-    """Belief of one leader, and what workers' answers make of it."""
+    """One leader's view of its pool, updated by the answers of workers."""
 
-    def on_hold(self, one: vm.Vm, reply: workers.HoldReply, now: float) -> None:
-        """Take the answer to a renewal, unless the VM has gone meanwhile."""
-        if one.gone:
+    def on_hold(self, machine: vm.Vm, reply: workers.HoldReply, now: float) -> None:
+        """Apply the answer to a renewal, unless the VM is gone by now."""
+        if machine.gone:
             return
         if reply.verdict is workers.Verdict.FENCED:
-            self._depose(one)
+            self._depose(machine)
         if reply.verdict is workers.Verdict.GONE:
-            self.drop_vm(one, "another life of the VM answers")
+            self.drop_vm(machine, "another incarnation of the VM answered")
         if reply.verdict is not workers.Verdict.DONE:
             return
-        one.update_clock(reply.clock, reply.received)
-        one.last_answer = now
-        one.reported_clock = reply.clock
-        if not one.answered:
-            one.answered = True
-            # An earlier leader may have granted the longest lease just before.
-            one.record_lease_deadline(reply.clock + self.times.longest_lease)
-            self.log_event("VM answers", vm=one.id, running=len(reply.running))
+        machine.update_clock(reply.clock, reply.received)
+        machine.last_answer = now
+        machine.reported_clock = reply.clock
+        if not machine.answered:
+            machine.answered = True
+            # An earlier leader may have granted the longest lease just before this.
+            machine.record_lease_deadline(reply.clock + self.times.longest_lease)
+            self.log_event("VM answers", vm=machine.id, running=len(reply.running))
         for end in reply.ended:
-            if end.number > one.processed_end:
-                self._apply_end(one, end, now)
-                one.processed_end = end.number
+            if end.number > machine.processed_end:
+                self._apply_end(machine, end, now)
+                machine.processed_end = end.number
         if len(reply.ended) < MAX_ENDS_PER_REPLY:
-            self._reconcile(one, reply, now)
-            # Only now it is known what runs there, and what has ended.
-            one.reconciled = True
-            self.unresolved.discard(one.id)
+            self._reconcile(machine, reply, now)
+            # Only a complete answer tells which runs are there and which have ended.
+            machine.reconciled = True
+            self.unresolved.discard(machine.id)
 
     def on_start(self, run: vm.Run, reply: workers.OrderReply, now: float) -> None:
-        """Take the answer to a start."""
+        """Apply the answer to a start."""
         if run.vm.runs.get(run.task) is not run:
             return
         verdict = reply.verdict
@@ -79,15 +80,15 @@
             self._confirm_start(run, now)
         elif verdict is workers.Verdict.UNKNOWN:
             run.state = vm.RunState.UNKNOWN
-            self.log_event("start without an answer", **view.describe_run(run))
+            self.log_event("start not answered", **view.describe_run(run))
         elif verdict is workers.Verdict.FENCED:
             self._depose(run.vm)
         elif verdict is workers.Verdict.GONE:
-            self.drop_vm(run.vm, "another life of the VM answers")
+            self.drop_vm(run.vm, "another incarnation of the VM answered")
         else:
             self._handle_refusal(run, verdict, now)
 
-    # -- inside
+    # -- internals
 
     def _confirm_start(self, run: vm.Run, now: float) -> None:
         if run.state is not vm.RunState.STOPPING:
@@ -118,38 +119,42 @@
             self.tickets.drop(advice.StepName(*run.task[:3]))
         self.log_event("start refused", reason=verdict.value, **view.describe_run(run))
 
-    def _depose(self, one: vm.Vm) -> None:
+    def _depose(self, machine: vm.Vm) -> None:
         if not self.deposed:
             self.log_event(
-                "a worker has seen a higher token", vm=one.id, fence=self.fence
+                "deposed: worker has a higher fencing token",
+                vm=machine.id,
+                fence=self.fence,
             )
         self.deposed = True
 
-    def _apply_end(self, one: vm.Vm, end: workers.Ended, now: float) -> None:
-        run = one.runs.get(end.task)
-        known = run is not None and run.number == end.run
-        if known:
+    def _apply_end(self, machine: vm.Vm, end: workers.Ended, now: float) -> None:
+        run = machine.runs.get(end.task)
+        is_own_run = run is not None and run.number == end.run
+        if is_own_run:
             self.remove_run(run)
         elif end.run > self.run_number_base and end.task in self.run_numbers:
-            return  # a run of ours that was taken for lapsed before
+            return  # a run of this leader that was already dropped as lapsed
         state = self.jobs.get(end.task.job)
         if state is None or state.final is not None or not state.has_task(end.task):
             return
         self.changed_jobs.add(end.task.job)
         step = state.job.steps[end.task.step]
-        lived = now - run.since if known else SHORT_RUN_SECONDS
-        if (not step.lasting or lived < SHORT_RUN_SECONDS) and one.record_end(
+        run_seconds = now - run.since if is_own_run else SHORT_RUN_SECONDS
+        if (not step.lasting or run_seconds < SHORT_RUN_SECONDS) and machine.record_end(
             end.end, now
         ):
             self.log_event(
-                "VM set aside", vm=one.id, until=round(one.quarantined_until, 2)
+                "VM quarantined",
+                vm=machine.id,
+                until=round(machine.quarantined_until, 2),
             )
         if step.lasting:
             return
         if end.end is model.End.DONE:
             self._record_done(state, end.task)
         elif end.end is model.End.FAILED:
-            self._record_failed(state, end, one)
+            self._record_failed(state, end, machine)
         else:
             state.record_checkpoint(end.task, end.checkpoint)
             self.ledger.mark_dirty(end.task.job)
@@ -169,19 +174,21 @@
             )
 
     def _record_failed(
-        self, state: progress.Progress, end: workers.Ended, one: vm.Vm
+        self, state: progress.Progress, end: workers.Ended, machine: vm.Vm
     ) -> None:
         if state.is_done(end.task):
             return
         state.record_failed(end.task, end.run)
         state.started = True
-        self.failed_on[end.task] = one.id
+        self.failed_on[end.task] = machine.id
         self.ledger.mark_dirty(end.task.job)
-        self.log_event("run failed", job=end.task.job, task=end.task[1:], vm=one.id)
+        self.log_event("run failed", job=end.task.job, task=end.task[1:], vm=machine.id)
         if state.is_exhausted(end.task, self.get_max_attempts(state)):
             state.final = model.JobState.FAILED
             self.must_scan = True
-            self.log_event("job failed", job=end.task.job, task=end.task[1:], vm=one.id)
+            self.log_event(
+                "job failed", job=end.task.job, task=end.task[1:], vm=machine.id
+            )
 
     def _compute_age(self, state: progress.Progress) -> float:
         return round(self.wall_time - state.accepted, 3)
@@ -192,39 +199,39 @@
             return 0.0
         return round(priority.compute_due(state.job, queue, 0.0), 3)
 
-    def _reconcile(self, one: vm.Vm, reply: workers.HoldReply, now: float) -> None:
+    def _reconcile(self, machine: vm.Vm, reply: workers.HoldReply, now: float) -> None:
         listed = {(entry.task, entry.run): entry for entry in reply.running}
-        for run in list(one.runs.values()):
+        for run in list(machine.runs.values()):
             entry = listed.pop((run.task, run.number), None)
             if entry is not None:
                 self._update_running(run, entry, now)
             elif run.state in (vm.RunState.STARTING, vm.RunState.UNKNOWN):
                 if reply.clock > run.deadline:
-                    self.log_event("start has not happened", **view.describe_run(run))
+                    self.log_event("start did not take place", **view.describe_run(run))
                     self.remove_run(run)
             elif run.since < reply.sent:
-                self.log_event("run not listed any more", **view.describe_run(run))
+                self.log_event("run no longer listed", **view.describe_run(run))
                 self.remove_run(run)
-        strays = [e for e in listed.values() if not self._adopt(one, e, now)]
-        for entry in strays:
-            if (entry.task, entry.run) not in one.orphans:
-                self._log_orphan(one, entry)
-        one.orphans = {
-            (entry.task, entry.run): one.orphans.get((entry.task, entry.run), 0.0)
-            for entry in strays
+        orphaned = [e for e in listed.values() if not self._adopt(machine, e, now)]
+        for entry in orphaned:
+            if (entry.task, entry.run) not in machine.orphans:
+                self._log_orphan(machine, entry)
+        machine.orphans = {
+            (entry.task, entry.run): machine.orphans.get((entry.task, entry.run), 0.0)
+            for entry in orphaned
         }
 
-    def _log_orphan(self, one: vm.Vm, entry: workers.Running) -> None:
-        """Log a listed run that nobody wants; one beside ours runs a second time."""
-        ours = self.live.get(entry.task)
+    def _log_orphan(self, machine: vm.Vm, entry: workers.Running) -> None:
+        """Log an orphaned run; with a live run of its task, the task runs twice."""
+        own_run = self.live.get(entry.task)
         self.log_event(
-            "run listed that nobody wants",
+            "orphaned run listed",
             job=entry.task.job,
             task=entry.task[1:],
             run=entry.run,
-            vm=one.id,
-            beside=ours.number if ours else 0,
-            beside_vm=ours.vm.id if ours else "",
+            vm=machine.id,
+            beside=own_run.number if own_run else 0,
+            beside_vm=own_run.vm.id if own_run else "",
         )
 
     def _update_running(self, run: vm.Run, entry: workers.Running, now: float) -> None:
@@ -235,8 +242,8 @@
         if entry.checkpoint and run.task.job in self.jobs:
             self.jobs[run.task.job].record_checkpoint(run.task, entry.checkpoint)
 
-    def _adopt(self, one: vm.Vm, entry: workers.Running, now: float) -> bool:
-        """Take over a listed run; return whether anybody wants it."""
+    def _adopt(self, machine: vm.Vm, entry: workers.Running, now: float) -> bool:
+        """Adopt an earlier leader's run; return whether it is still wanted."""
         state = self.jobs.get(entry.task.job)
         wanted = (
             state is not None
@@ -250,7 +257,7 @@
         if not wanted:
             return False
         step = state.job.steps[entry.task.step]
-        run = one.adopt(entry, step, now)
+        run = machine.adopt(entry, step, now)
         run.load = entry.load
         run.sure_from = now + self.times.stop_grace + ADOPTION_GRACE_SECONDS
         self.live[entry.task] = run
--- a/wigeonhitch/pool/demand.py
+++ b/wigeonhitch/pool/demand.py
@@ -1,11 +1,11 @@
-"""How many processors a pool could use, seen before its VMs are full.
-
-The load: a queue's burst begins from one moment to the next with five times its
-mean, and a VM that is sent takes 1.5 s. What has found no room shows such a
-burst only once the pool is full, some 2 s into 4.5 s. What is handed in shows
-it after a handful of jobs, some tenths of a second, and shows its end as soon.
-Of many callers a burst rises over some seconds, so that what is handed in exceeds
-the pool only after 1.5 s; its rise shows sooner how much will be there when a VM comes.
+"""Demand of a pool for processors, estimated before its VMs are full.
+
+A queue's burst starts at once with five times its mean load and lasts some 4.5 s; a
+VM from another pool arrives after 1.5 s. Unplaced tasks reveal a burst only once
+the pool is full, some 2 s later. The arrival rate reveals it after a handful of
+jobs, some tenths of a second, and shows its end as early. With many callers a burst
+rises over some seconds, so that the arrival rate exceeds the pool only after 1.5 s;
+its slope forecasts the demand at the time when a VM would arrive.
 """
 
 import collections
@@ -19,34 +19,36 @@
 
 
 class Window(NamedTuple):
-    """A look back: over how many seconds, and how many jobs make it count."""
+    """Averaging window: its seconds and the jobs below which it is ignored."""
 
     seconds: float
     jobs: int
 
 
 WINDOWS = (Window(1.0, 3), Window(0.4, 5))
-"""A burst of many small jobs (20 a second) shows in the short one, one of few
-large jobs (3 a second) in the long one. Fewer jobs than these come together by
-chance between bursts: a twentieth of the rate, every few seconds."""
+"""Windows for the arrival rate. The short one detects bursts of many small jobs (20 a
+second), the long one bursts of few large jobs (3 a second). Between bursts, at a
+twentieth of the rate, fewer jobs than these coincide by chance every few seconds."""
 
 
 RISE_WINDOW = Window(0.5, 5)
-"""Two such spans, one after the other, show a rise. Both together have this many jobs
-at least, and the second more than chance would bring."""
+"""Two consecutive windows of this length show a rise if they have at least this many
+jobs together and the second has significantly more than the first."""
 
 MIN_RISE_SIGMAS = 2.0
-"""Standard deviations by which one count must exceed the one before to be a rise."""
+"""Standard deviations by which the second count must exceed the first for a rise."""
 
 LOOK_AHEAD_SECONDS = 0.3
-"""Seconds beyond a move's own until its VM takes tasks: board, order and first call."""
+"""Seconds, beyond those of the move itself, until a moved VM accepts tasks: publishing
+the status, the order and the first call."""
 
 
 class Demand(NamedTuple):
-    """Thousandths of a core that batch work in time can use.
+    """Millicores that batch jobs which can still be on time can use.
 
-    ``wanted`` lets all run at once, ``least`` lets all be just in time, and
-    ``arriving`` keeps up with what is handed in now; both hold at least that.
+    ``peak`` lets all of them run in parallel, ``minimum`` lets each finish just on
+    time, and ``arriving`` keeps up with the current arrivals; the other two are never
+    below it.
     """
 
     peak: int
@@ -55,32 +57,32 @@
 
 
 class Arrivals:
-    """What was handed in of late, in core-seconds a second.
+    """Recent arrival rate of work, in core-seconds per second.
 
     Parameters
     ----------
-    move : float
-        Seconds that a VM takes to come from another pool.
+    move_seconds : float
+        Seconds that a VM takes to join from another pool; 0: no forecast.
     """
 
-    def __init__(self, move: float = 0.0) -> None:
-        self._look_ahead = move + LOOK_AHEAD_SECONDS if move else 0.0
+    def __init__(self, move_seconds: float = 0.0) -> None:
+        self._look_ahead = move_seconds + LOOK_AHEAD_SECONDS if move_seconds else 0.0
         self._recent: collections.deque[tuple[float, float]] = collections.deque()
 
     def record(self, work: float, now: float) -> None:
-        """Take a job of so many core-seconds."""
+        """Record the arrival of a job with its core-seconds."""
         self._recent.append((now, work))
 
     def compute_rate(self, now: float) -> float:
-        """Return the processors that keep up with what is handed in now."""
-        longest = max(one.seconds for one in WINDOWS)
+        """Return the processors that keep up with the arrivals."""
+        longest = max(window.seconds for window in WINDOWS)
         while self._recent and now - self._recent[0][0] > longest:
             self._recent.popleft()
-        rate = max(self._compute_window_rate(one, now) for one in WINDOWS)
+        rate = max(self._compute_window_rate(window, now) for window in WINDOWS)
         return rate + self._look_ahead * self._compute_rise(now)
 
     def _compute_rise(self, now: float) -> float:
-        """Return by how much the rate grows in a second; 0 if that may be chance."""
+        """Return the increase of the rate per second; 0 if it isn't significant."""
         seconds = RISE_WINDOW.seconds
         newer = [work for at, work in self._recent if now - at <= seconds]
         older = [work for at, work in self._recent if seconds < now - at <= 2 * seconds]
@@ -93,35 +95,35 @@
         return (sum(newer) - sum(older)) / seconds / seconds
 
     def _compute_window_rate(self, window: Window, now: float) -> float:
-        found = [work for at, work in self._recent if now - at <= window.seconds]
-        if len(found) < window.jobs:
+        arrived = [work for at, work in self._recent if now - at <= window.seconds]
+        if len(arrived) < window.jobs:
             return 0.0
-        return sum(found) / window.seconds
+        return sum(arrived) / window.seconds
 
 
 def compute_demand(
     inputs: Iterable[priority.SortInputs], arriving: float, wall_time: float
 ) -> Demand:
-    """Return what a pool's batch work needs.
+    """Return the demand of a pool's batch jobs.
 
     Parameters
     ----------
-    inputs : iterable of order.Figures
-        Of all open jobs.
+    inputs : iterable of priority.SortInputs
+        Those of all open jobs.
     arriving : float
-        Processors for what is handed in; see `Arrivals`.
+        Processors that keep up with the arrivals; see `Arrivals`.
     wall_time : float
-        Seconds since 1970.
+        Unix time.
     """
-    wanted = least = 0.0
-    for one in inputs:
+    peak = minimum = 0.0
+    for job in inputs:
         if (
-            one.is_lasting
-            or one.critical_path_left <= 0
-            or wall_time + one.critical_path_left > one.due
+            job.is_lasting
+            or job.critical_path_left <= 0
+            or wall_time + job.critical_path_left > job.due
         ):
             continue
-        wanted += one.work_left / one.critical_path_left
-        least += one.work_left / (one.due - wall_time)
-    wanted, least = max(wanted, arriving), max(least, arriving)
-    return Demand(round(1000 * wanted), round(1000 * least), round(1000 * arriving))
+        peak += job.work_left / job.critical_path_left
+        minimum += job.work_left / (job.due - wall_time)
+    peak, minimum = max(peak, arriving), max(minimum, arriving)
+    return Demand(round(1000 * peak), round(1000 * minimum), round(1000 * arriving))
--- a/wigeonhitch/pool/dependencies.py
+++ b/wigeonhitch/pool/dependencies.py
@@ -1,4 +1,4 @@
-"""What a pool's leader works with."""
+"""Dependencies of a pool's leader."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,11 +11,11 @@
 
 
 class Dependencies(NamedTuple):
-    """What a leader works with.
+    """Stores, calls and limits that a leader uses.
 
-    ``may_order`` says whether an order may be given at this moment;
-    ``get_last_renewal`` returns when it was last renewed; ``get_store_time`` the
-    store's clock, in seconds.
+    ``may_order`` returns whether an order may be given now, ``get_last_renewal`` the
+    time of the last renewal of the leader's lease, and ``get_store_time`` the store's
+    clock in seconds. Rows of final jobs are kept for ``final_retention`` seconds.
     """
 
     store: rows.RowStore
--- a/wigeonhitch/pool/dispatcher.py
+++ b/wigeonhitch/pool/dispatcher.py
@@ -1,4 +1,4 @@
-"""Calls to the workers of one pool: orders, and renewals of their leases."""
+"""Calls to the workers of one pool: orders and lease renewals."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,58 +10,60 @@
 __all__ = ["OUTAGE_LEASE", "START_DEADLINE", "WORKER_LEASE", "Dispatcher"]
 
 WORKER_LEASE = 3.8
-"""Seconds for which a worker keeps its tasks without a renewal. Longer than a
-takeover (a lease of 2.2 s, a poll of 0.5 s, a hold of 0.6 s and the first
-calls), so that work goes on when a leader dies; what ran on a silent VM starts
-elsewhere after it."""
+"""Seconds for which a worker keeps its tasks without a renewal. It is longer than a
+takeover (a lease of 2.2 s, a poll of 0.5 s, a hold of 0.6 s and the first calls),
+so that work goes on when a leader dies. Tasks of a silent VM are restarted elsewhere
+only after it."""
 
 OUTAGE_LEASE = 6.5
-"""The same while the store doesn't answer this daemon: outages last 3 to 9 s,
-and a leader that can't renew its own lease may soon not renew the workers'.
-With the 2 s that its own lease still lasts, work survives 8.5 s. A successor
-waits this long for VMs that it can't reach, so longer isn't better."""
+"""Lease in seconds while the store doesn't answer this daemon. Outages last 3 to 9 s,
+and a leader that can't renew its own lease soon can't renew those of its workers;
+with the 2 s that its own lease still lasts, work survives 8.5 s. A longer lease
+would delay recovery: a successor waits this long for VMs that it can't reach."""
 
 STORE_OUTAGE_AFTER_SECONDS = 1.3
-"""Seconds without a renewal of the leader's lease after which the longer lease
-is given: two renewals have failed."""
+"""Seconds without a renewal of the leader's own lease after which workers get
+`OUTAGE_LEASE`: two renewals have failed by then."""
 
 HOLD_WAIT = 0.6
-"""Seconds that a hold waits for an end on a VM with tasks: six renewals in a
-lease, and the load figures for pacing twice a second."""
+"""Seconds that a hold waits for a run to end, on a VM with tasks: six renewals per
+lease, and load figures for pacing about twice a second."""
 
 IDLE_WAIT = 1.2
-"""The same on a VM without tasks; each look at a worker is paid for."""
+"""Seconds that a hold waits on a VM without tasks: longer, as each call to a worker
+has a cost."""
 
 CALL_SLACK = 0.5
-"""Seconds beyond its wait after which a call counts as lost: a call takes some
-milliseconds, and up to 0.25 s where a daemon or link is slow."""
+"""Seconds beyond its wait after which a call counts as lost: a call takes a few
+milliseconds, and up to 0.25 s if the daemon or the link is slow."""
 
 START_TIMEOUT = 0.7
 """Seconds to wait for the answer to a start."""
 
 START_DEADLINE = 1.2
-"""Seconds after which a worker refuses a start that was on the way: an order
-without an answer is settled by the first answer after it."""
+"""Seconds after which a worker refuses a delayed start, so that the first answer
+after this deadline tells whether an unanswered start took place."""
 
 RETRY_SECONDS = 0.1
-"""Seconds between tries of a call that failed."""
+"""Seconds before a failed call is retried."""
 
 
 class Dispatcher:
-    """Carries out a leader's orders and keeps its VMs' leases.
+    """Sends a leader's orders to workers and renews their leases.
 
     Parameters
     ----------
     pool : core.Pool
-        Takes the answers.
+        Receives the answers.
     deps : dependencies.Dependencies
-        The calls, and whether this daemon's own lease lasts.
+        The calls, and whether this daemon's own lease is valid.
     plan_paces : callable
         Returns the changes of pace to order after a VM's answer.
     wake : callable
-        Called when something new is known.
+        Called after each change of the pool's state.
     wait_until_committed : callable
-        Awaitable; returns once a VM's ends are durable, or it must be held anew.
+        Returns an awaitable that ends once a VM's ends are durable, or when the VM's
+        next renewal is due.
     """
 
     def __init__(
@@ -80,26 +82,26 @@
         self._log_event = pool.log_event
         self._last_outage_lease = 0.0
         self.renewing: set[str] = set()
-        """VMs that a task holds."""
+        """VMs whose leases a task is renewing."""
 
     def compute_max_granted_lease(self) -> float:
         """Return the longest lease that a worker may still have.
 
-        It may be of an earlier leader: one that handed over a moment ago may have
-        granted more than this one.
+        An earlier leader that handed over a moment ago may have granted a longer one
+        than this leader.
         """
         now = http.read_clock()
-        recent = now - self._last_outage_lease < OUTAGE_LEASE
-        granted = OUTAGE_LEASE if recent else WORKER_LEASE
+        granted_recently = now - self._last_outage_lease < OUTAGE_LEASE
+        granted = OUTAGE_LEASE if granted_recently else WORKER_LEASE
         return max(granted, self._pool.compute_remaining_earlier_lease(now))
 
     def _may_order(self) -> bool:
-        """Whether an order may leave at this moment."""
-        # A worker may have deposed this leader since the order was decided.
+        """Return whether an order may be sent now."""
+        # A worker may have reported a newer leader since the order was planned.
         return self._deps.may_order() and not self._pool.deposed
 
     async def send_start(self, start: message.Start) -> None:
-        """Send a start, unless this leader's lease has run out meanwhile."""
+        """Send a start, unless this leader's lease has expired by now."""
         run = start.run
         now = http.read_clock()
         if run.vm.runs.get(run.task) is not run:
@@ -167,49 +169,49 @@
         elif reply.verdict is workers.Verdict.FENCED:
             self._pool.deposed = True
 
-    async def renew_until_gone(self, one: vm.Vm) -> None:
-        """Renew a VM's leases and take what it lists, until it is gone."""
+    async def renew_until_gone(self, machine: vm.Vm) -> None:
+        """Renew a VM's leases and apply its answers until it is gone."""
         try:
-            while not one.gone and not self._pool.deposed:
+            while not machine.gone and not self._pool.deposed:
                 if self._may_order():
-                    await self._renew_once(one)
+                    await self._renew_once(machine)
                 else:
                     await anyio.sleep(RETRY_SECONDS / 2)
         finally:
-            self.renewing.discard(one.id)
+            self.renewing.discard(machine.id)
 
-    async def _renew_once(self, one: vm.Vm) -> None:
+    async def _renew_once(self, machine: vm.Vm) -> None:
         now = http.read_clock()
         silence = now - self._deps.get_last_renewal()
         lease = WORKER_LEASE
         if silence > STORE_OUTAGE_AFTER_SECONDS:
             lease = OUTAGE_LEASE
             self._last_outage_lease = now
-        # A silent VM isn't given more time: it may hear what isn't answered, and
-        # its tasks could never be taken for ended.
+        # A silent VM gets no new deadline: it may receive calls whose answers are
+        # lost, and its leases would never certainly expire.
         deadline = None
-        if one.knows_clock and not one.is_silent:
-            deadline = one.compute_deadline(now, lease)
-            one.record_lease_deadline(deadline)
-        wait = HOLD_WAIT if one.runs else IDLE_WAIT
-        if one.is_silent or not one.answered:
+        if machine.knows_clock and not machine.is_silent:
+            deadline = machine.compute_deadline(now, lease)
+            machine.record_lease_deadline(deadline)
+        wait = HOLD_WAIT if machine.runs else IDLE_WAIT
+        if machine.is_silent or not machine.answered:
             wait = 0.0
-        entry = one.entry
+        entry = machine.entry
         reply = await self._deps.workers.hold(
             entry.address,
             entry.id,
             self._pool.fence,
             deadline,
-            one.committed_end,
+            machine.committed_end,
             wait=wait,
             timeout=wait + CALL_SLACK,
         )
-        one.is_silent = reply.verdict is not workers.Verdict.DONE
-        self._pool.on_hold(one, reply, http.read_clock())
+        machine.is_silent = reply.verdict is not workers.Verdict.DONE
+        self._pool.on_hold(machine, reply, http.read_clock())
         self._wake()
-        if one.is_silent:
+        if machine.is_silent:
             await anyio.sleep(RETRY_SECONDS)
             return
-        for order in self._plan_paces(one):
+        for order in self._plan_paces(machine):
             await self.send_pace(order)
-        await self._wait_until_committed(one)
+        await self._wait_until_committed(machine)
--- a/wigeonhitch/pool/health.py
+++ b/wigeonhitch/pool/health.py
@@ -1,12 +1,12 @@
-"""Runs that stand still or crawl, found by their progress.
-
-The load: on a tenth of the VMs all tasks stand still for some 5 s, or work
-takes four to seven times as long, while the VMs answer as ever. The harm: each
-such task keeps its job waiting to the end of the spell, far past its objective.
-Progress is listed in whole percents some twice a second, so a task of 1.7 s
-moves with each answer; one that hasn't moved for a second stands still. A run
-is moved once for being slow, and only where its VM is to blame: estimates may
-be a tenth of what a job takes, and such a job is long everywhere.
+"""Detection of stuck and slow runs by their progress.
+
+Up to a tenth of the VMs may degrade while they go on answering: all their tasks
+stand still for some 5 s, or run four to seven times slower. Each such task delays
+its job to the end of the degradation, far past its objective. Progress is listed in
+whole percents about twice a second, so a task of 1.7 s advances with each answer,
+and one without progress for a second is stuck. A slow task is restarted elsewhere
+once, and only if its VM is at fault: estimates may be a tenth of the real run time,
+and such a job is slow on every VM.
 """
 
 import statistics
@@ -17,42 +17,44 @@
 __all__ = ["is_slow", "is_slower_than_peers", "is_stuck"]
 
 STUCK_AFTER = 1.0
-"""Seconds without progress after which a run counts as standing still: one and
-a half holds, and a percent of the longest tasks takes 0.05 s."""
+"""Seconds without progress after which a run counts as stuck: one and a half holds,
+while the longest tasks need 0.05 s for a percent."""
 
 LASTING_STUCK_AFTER = 2.0
-"""The same for a lasting task that isn't at work; it starts up within a
-second."""
+"""The same in seconds for a lasting task that isn't fully started; lasting tasks
+start up within a second."""
 
 SLOW_FACTOR = 3.0
-"""Times the estimate that a run must seem to need in all to count as slow:
-estimates are off by up to a half, workers turn four to seven times slower."""
+"""Multiple of the estimate that a run's projected run time must exceed to count as
+slow: estimates are off by up to a half, degraded VMs are four to seven times slower."""
 
 PEER_FACTOR = 2.0
-"""Times what tasks of the same step seem to need on other VMs: they differ by
-up to a third among themselves, slow VMs take four to seven times as long."""
+"""Multiple of the median projected run time of the step's tasks on other VMs: these
+differ by up to a third, degraded VMs are four to seven times slower."""
 
 MIN_SECONDS_LEFT = 1.0
-"""Seconds that must be left for a move to pay, beyond what it takes elsewhere."""
+"""Seconds that a run must have left, beyond its estimate, for a restart elsewhere to
+pay off."""
 
 
 def is_stuck(run: vm.Run) -> bool:
-    """Whether a run stands still though its VM answers.
+    """Return whether a run makes no progress though its VM answers.
 
-    By the time that the VM has told of: this daemon may have been paused itself.
+    This is judged by the clock that the VM reported, as this daemon itself may have
+    been paused.
     """
     if run.state is not vm.RunState.RUNNING or run.pace < 100:
         return False
     if run.step.gang or run.step.fills:
-        return False  # its pace is others' doing
-    still = run.vm.reported_clock - run.moved
+        return False  # other tasks determine its pace
+    stalled = run.vm.reported_clock - run.moved
     if run.step.lasting:
-        return run.work < 100 and still > LASTING_STUCK_AFTER
-    return still > STUCK_AFTER
+        return run.work < 100 and stalled > LASTING_STUCK_AFTER
+    return stalled > STUCK_AFTER
 
 
 def is_slow(run: vm.Run, now: float) -> bool:
-    """Whether a run would be done sooner if it began again elsewhere."""
+    """Return whether a run would finish sooner if it were restarted elsewhere."""
     step = run.step
     if run.state is not vm.RunState.RUNNING or run.pace < 100 or run.adopted:
         return False
@@ -60,21 +62,24 @@
         return False
     if run.rate is None or run.rate <= 0:
         return False
-    whole = 100 / run.rate
+    projected = 100 / run.rate
     left = (100 - run.work) / run.rate
     return (
-        whole > SLOW_FACTOR * step.estimate and left > step.estimate + MIN_SECONDS_LEFT
+        projected > SLOW_FACTOR * step.estimate
+        and left > step.estimate + MIN_SECONDS_LEFT
     )
 
 
 def is_slower_than_peers(run: vm.Run, peers: Iterable[vm.Run]) -> bool | None:
-    """Whether a run crawls beside tasks of its step on other VMs.
+    """Return whether a run is slow compared with its step's tasks on other VMs.
 
-    None if there is nothing to compare it with. Both have a known rate: without
-    this look, a calm day of large jobs whose estimates are off by up to nine
-    tenths had 30 runs begun again and 8 sound VMs set aside for 4 s.
+    Only runs with a known rate are compared; the result is None if there are none.
+    Without this comparison, large jobs whose estimates were off by up to nine tenths
+    had 30 runs restarted and 8 healthy VMs quarantined for 4 s.
     """
-    wholes = [100 / one.rate for one in peers if one.rate and one.vm is not run.vm]
-    if not wholes or not run.rate:
+    peer_times = [
+        100 / peer.rate for peer in peers if peer.rate and peer.vm is not run.vm
+    ]
+    if not peer_times or not run.rate:
         return None
-    return 100 / run.rate > PEER_FACTOR * statistics.median(wholes)
+    return 100 / run.rate > PEER_FACTOR * statistics.median(peer_times)
--- a/wigeonhitch/pool/ledger.py
+++ b/wigeonhitch/pool/ledger.py
@@ -1,9 +1,9 @@
-"""What a leader must make durable, and in which conditional writes.
+"""Pending writes of a pool's leader, as conditional transactions.
 
-Every transaction is conditional on the owner row, so a leader that was
-replaced changes nothing any more. It is also conditional on the version of
-each row that it replaces: a write whose answer was lost may be applied seconds
-later, and must not put an older state over a newer one.
+Every transaction is conditional on the owner row, so that a replaced leader changes
+nothing. It is also conditional on the version of each row that it replaces: a write
+whose answer was lost may be applied seconds later, and must not overwrite newer
+state with older.
 
 An end counts only once it is committed: `Batch.processed_ends` holds the numbers
 of ends that may be acknowledged to the workers after the commit.
@@ -21,21 +21,22 @@
 __all__ = ["Batch", "Ledger", "Result"]
 
 MAX_TRANSACTION_ENTRIES = 100
-"""Conditions and writes that the store takes in one transaction."""
+"""Largest number of conditions and writes that the store accepts in a transaction."""
 
 MAX_JOBS_PER_BATCH = 20
-"""Jobs in one transaction: 2 entries each, as for all other rows."""
+"""Largest number of jobs in a transaction; each row takes 2 entries."""
 
 MAX_ROWS_PER_KIND = 16
-"""Roster rows, and spent progress rows, in one transaction, if there is room."""
+"""Largest number of added roster rows, of removed ones and of removed progress rows in
+a transaction, as far as entries are left."""
 
 
 class Batch(NamedTuple):
-    """One transaction, and what is known once it is done."""
+    """One transaction, and the changes that take effect once it is committed."""
 
     transaction: rows.Transaction
     jobs: tuple[str, ...]
-    finals: tuple[str, ...]
+    final_jobs: tuple[str, ...]
     vms: tuple[str, ...]
     removed_vms: tuple[str, ...]
     dropped: tuple[str, ...]
@@ -43,12 +44,12 @@
 
 
 class Result(NamedTuple):
-    """What came of a batch."""
+    """Outcome of a batch."""
 
     done: bool
     deposed: bool = False
     durable_finals: tuple[str, ...] = ()
-    """Final jobs whose end an earlier try has made durable without an answer."""
+    """Final jobs that an earlier, unanswered attempt has made durable."""
 
 
 class Ledger:
@@ -57,53 +58,53 @@
     Parameters
     ----------
     pool : str
-        The pool; the part in which its rows lie.
+        The pool; also the part that holds its rows.
     fence : int
-        Version of the owner row under which all is written.
+        Version of the owner row on which all writes are conditional.
     """
 
     def __init__(self, pool: str, fence: int) -> None:
         self.pool = pool
         self.fence = fence
         self.versions: dict[str, int] = {}
-        """Versions of progress rows; a job without one has none."""
+        """Versions of progress rows, for jobs that have one."""
         self._dirty: dict[str, None] = {}
         self._added_vms: dict[str, str] = {}
         self._gone_vms: set[str] = set()
         self._roster: dict[str, int] = {}
-        """Versions of roster rows; a VM without one has none."""
+        """Versions of roster rows, for VMs that have one."""
         self._dropped: dict[str, None] = {}
 
     @property
     def has_work(self) -> bool:
-        """Whether anything waits to be written."""
+        """Whether there are pending writes."""
         return bool(self._dirty or self._added_vms or self._gone_vms or self._dropped)
 
     def mark_dirty(self, id: str) -> None:
-        """Note that a job's progress must be written."""
+        """Schedule a write of a job's progress."""
         self._dirty[id] = None
 
     def add_vm(self, id: str, address: str) -> None:
-        """Note that a VM is to be used.
+        """Schedule a roster row for a VM that is to be used.
 
-        Its row is written also where one is known: that may be about to go.
+        It is also written if a row exists, as that row may be about to be removed.
         """
         self._gone_vms.discard(id)
         self._added_vms[id] = address
 
     def remove_vm(self, id: str) -> None:
-        """Note that nothing can run on a VM any more."""
+        """Schedule the removal of a VM's roster row: nothing can run there any more."""
         self._added_vms.pop(id, None)
         if id in self._roster:
             self._gone_vms.add(id)
 
     def on_roster_row(self, id: str, version: int) -> None:
-        """Take a roster row as read."""
+        """Record a roster row that was read."""
         self._roster[id] = version
         self._added_vms.pop(id, None)
 
     def drop_progress(self, ids: Iterable[str]) -> None:
-        """Note that progress rows are no longer needed."""
+        """Schedule the removal of progress rows that are no longer needed."""
         self._dropped.update(dict.fromkeys(id for id in ids if id in self.versions))
 
     def collect(
@@ -111,40 +112,42 @@
         jobs: Mapping[str, progress.Progress],
         vms: Mapping[str, vm.Vm],
     ) -> Batch:
-        """Return what is to be written now."""
+        """Return the next batch of pending writes."""
         builder = _Builder(self.pool, self.fence)
         self._dirty = {id: None for id in self._dirty if id in jobs}
         chosen = list(self._dirty)[:MAX_JOBS_PER_BATCH]
         for id in chosen:
             builder.put_progress(jobs[id], self.versions.get(id, 0))
-        finals = [id for id in chosen if jobs[id].final is not None]
+        final_jobs = [id for id in chosen if jobs[id].final is not None]
         added = tuple(self._added_vms)[: builder.count_free()]
         for id in added:
             builder.put_vm(id, self._added_vms[id], self._roster.get(id, 0))
         removed = tuple(self._gone_vms)[: builder.count_free()]
         for id in removed:
             builder.remove(pool_record.ROSTER_TABLE, id, self._roster.get(id, 0))
-        spent = tuple(self._dropped)[: builder.count_free()]
-        for id in spent:
+        dropped = tuple(self._dropped)[: builder.count_free()]
+        for id in dropped:
             builder.remove(pool_record.PROGRESS_TABLE, id, self.versions.get(id, 0))
-        whole = len(chosen) == len(self._dirty)
+        is_complete = len(chosen) == len(self._dirty)
         processed_ends = (
-            {one.id: one.processed_end for one in vms.values()} if whole else {}
+            {machine.id: machine.processed_end for machine in vms.values()}
+            if is_complete
+            else {}
         )
         for id in chosen:
             del self._dirty[id]
         return Batch(
             builder.build(),
             tuple(chosen),
-            tuple(finals),
+            tuple(final_jobs),
             added,
             removed,
-            spent,
+            dropped,
             processed_ends,
         )
 
     def on_result(self, batch: Batch, change: rows.Change) -> Result:
-        """Take the answer to a batch; what wasn't done is marked again."""
+        """Apply the answer to a batch; writes that weren't made are scheduled again."""
         if change.outcome is table.Outcome.DONE:
             self._on_committed(batch, change.version)
             return Result(True)
@@ -158,20 +161,20 @@
             self._update_version(
                 row.table, row.key, row.version if row.value is not None else 0
             )
-        for one in rows.list_gone(batch.transaction.conditions, change.conflicts):
-            self._update_version(one.table, one.key, 0)
+        for condition in rows.list_gone(batch.transaction.conditions, change.conflicts):
+            self._update_version(condition.table, condition.key, 0)
         self._drop_removed_rows(batch.dropped)
-        settled = tuple(
+        durable = tuple(
             row.key
             for row in change.conflicts
-            if row.key in batch.finals and _is_final(row)
+            if row.key in batch.final_jobs and _is_final(row)
         )
-        for id in settled:
+        for id in durable:
             self._dirty.pop(id, None)
-        return Result(False, durable_finals=settled)
+        return Result(False, durable_finals=durable)
 
     def _update_version(self, table: str, key: str, version: int) -> None:
-        """Take a row's version as the store has it, 0 if there is no row."""
+        """Record a row's version in the store, 0 if there is no row."""
         if table == pool_record.PROGRESS_TABLE:
             self.versions[key] = version
         elif table == pool_record.ROSTER_TABLE and version:
@@ -179,13 +182,14 @@
         elif table == pool_record.ROSTER_TABLE:
             self._roster.pop(key, None)
 
-    def _drop_removed_rows(self, spent: Iterable[str]) -> None:
-        """Drop removals that were done without an answer.
+    def _drop_removed_rows(self, dropped: Iterable[str]) -> None:
+        """Drop pending removals of rows that no longer exist.
 
-        Their rows don't exist any more. One that stayed would let every later
-        transaction of the pool fail, so that no end is ever noted again.
+        An unanswered attempt has removed them. A removal that stayed pending would
+        make every later transaction of the pool fail, so that no end could be
+        recorded any more.
         """
-        for id in spent:
+        for id in dropped:
             if not self.versions.get(id):
                 self._dropped.pop(id, None)
                 self.versions.pop(id, None)
@@ -197,7 +201,7 @@
         for id in batch.vms:
             self._roster[id] = version
             if self._added_vms.pop(id, None) is None:
-                self._gone_vms.add(id)  # the VM has gone while it was written
+                self._gone_vms.add(id)  # the VM was dropped during the write
         for id in batch.removed_vms:
             self._gone_vms.discard(id)
             self._roster.pop(id, None)
@@ -207,7 +211,7 @@
 
 
 def _is_final(row: rows.Row) -> bool:
-    """Whether a row is one of progress that holds a final state."""
+    """Return whether a row is a progress row with a final state."""
     is_progress = row.table == pool_record.PROGRESS_TABLE and row.value is not None
     return is_progress and record.read_final(row.value or b"") is not None
 
@@ -226,7 +230,8 @@
         self._put(pool_record.PROGRESS_TABLE, id, record.write_progress(state))
 
     def put_vm(self, id: str, address: str, version: int) -> None:
-        # Under its own version: a try that is done late must not undo a later one.
+        # Conditional on its own version: an attempt that is applied late must not undo
+        # a later one.
         self._expect(pool_record.ROSTER_TABLE, id, version)
         self._put(pool_record.ROSTER_TABLE, id, pool_record.write_roster(address))
 
@@ -235,7 +240,7 @@
         self.writes.append(rows.Write(table, self._pool, key, None))
 
     def count_free(self) -> int:
-        """Return how many more rows of a kind may be put or removed."""
+        """Return how many more rows of a kind fit into the transaction."""
         used = len(self._conditions) + len(self.writes)
         return min(MAX_ROWS_PER_KIND, (MAX_TRANSACTION_ENTRIES - used) // 2)
 
--- a/wigeonhitch/pool/message.py
+++ b/wigeonhitch/pool/message.py
@@ -1,4 +1,4 @@
-"""Orders that a pool's leader gives, for its task to carry out."""
+"""Orders of a pool's leader to its workers, as planned by `planner`."""
 
 from typing import NamedTuple
 
@@ -25,7 +25,7 @@
 
 
 class Pace(NamedTuple):
-    """Let a filling run work at a percentage of its speed."""
+    """Limit a filling run to a percentage of its full speed."""
 
     run: vm.Run
     percent: int
--- a/wigeonhitch/pool/placement.py
+++ b/wigeonhitch/pool/placement.py
@@ -1,8 +1,9 @@
-"""Where a task goes: rooms, labels, racks, and at most so many on one VM.
+"""Choice of a VM for a task by free room, label, rack and spread limit.
 
-Batch tasks go where they leave the least room, so that large ones still find
-a place. Lasting tasks go apart from others of their step, to where most room is, and to
-VMs that hold lasting tasks already: the others can go to another pool.
+Batch tasks go where they leave the least room, so that large tasks still fit
+elsewhere. Lasting tasks go to VMs with the fewest tasks of their step, then to VMs
+that already run lasting tasks, so that the others can move to another pool, and then
+to the most free room.
 """
 
 from collections.abc import Iterable
@@ -14,21 +15,21 @@
 
 
 class Placer:
-    """Free room of the open VMs while one round of placement is made."""
+    """Free room of the open VMs during one placement round."""
 
     def __init__(self, vms: Iterable[vm.Vm], now: float) -> None:
-        opened = [one for one in vms if one.is_open(now)]
-        good = [one for one in opened if not one.is_quarantined(now)]
-        # Never set aside more than half of a pool: what fails on most VMs is
-        # the work's own fault, and an empty pool serves nobody.
-        self.vms = good if 2 * len(good) >= len(opened) else opened
-        self.free = {one.id: one.compute_free_room() for one in self.vms}
+        open_vms = [machine for machine in vms if machine.is_open(now)]
+        healthy = [machine for machine in open_vms if not machine.is_quarantined(now)]
+        # Never exclude more than half of a pool: failures on most VMs are caused by
+        # the tasks themselves, and an empty pool would serve nobody.
+        self.vms = healthy if 2 * len(healthy) >= len(open_vms) else open_vms
+        self.free = {machine.id: machine.compute_free_room() for machine in self.vms}
         self.max_free_cpu = max((room.cpu for room in self.free.values()), default=-1)
-        """At least the most free processors on any VM."""
+        """Upper bound of the free millicores on any VM."""
         self.step_counts: dict[tuple[str, str, int, int], int] = {}
-        for one in self.vms:
-            for task in one.runs:
-                self._add_to_count(one, task, 1)
+        for machine in self.vms:
+            for task in machine.runs:
+                self._add_to_count(machine, task, 1)
 
     def choose(
         self,
@@ -39,82 +40,96 @@
         rack: str = "",
         allowed: frozenset[str] | None = None,
     ) -> vm.Vm | None:
-        """Choose a VM for one task and take its room; None if there is none.
+        """Choose a VM for a task and reserve its room; return None if none fits.
 
         Parameters
         ----------
         avoid : str
-            VM on which the task failed before: taken only if no other fits.
+            VM on which the task failed before: chosen only if no other fits.
         rack : str
-            Rack that the task must be in; empty: any.
+            Rack that the VM must be in; empty: any.
         allowed : frozenset of str, optional
             VMs that the queue's policy allows.
         """
-        fitting = [
-            one
-            for one in self.vms
-            if self._fits(one, task, step)
-            and (not rack or one.rack == rack)
-            and (allowed is None or one.id in allowed)
+        candidates = [
+            machine
+            for machine in self.vms
+            if self._fits(machine, task, step)
+            and (not rack or machine.rack == rack)
+            and (allowed is None or machine.id in allowed)
         ]
-        if not fitting:
+        if not candidates:
             self.max_free_cpu = max(
                 (room.cpu for room in self.free.values()), default=-1
             )
             return None
-        chosen = min(fitting, key=lambda one: self._score(one, task, step, avoid))
+        chosen = min(
+            candidates, key=lambda machine: self._score(machine, task, step, avoid)
+        )
         self.reserve(chosen, task, step)
         return chosen
 
-    def reserve(self, one: vm.Vm, task: model.Task, step: model.Step) -> None:
-        """Take a task's room from a VM."""
-        self._change(one, task, step, 1)
+    def reserve(self, machine: vm.Vm, task: model.Task, step: model.Step) -> None:
+        """Reserve a task's room on a VM."""
+        self._change(machine, task, step, 1)
 
-    def release(self, one: vm.Vm, task: model.Task, step: model.Step) -> None:
-        """Give a task's room back."""
-        self._change(one, task, step, -1)
+    def release(self, machine: vm.Vm, task: model.Task, step: model.Step) -> None:
+        """Release a task's room on a VM."""
+        self._change(machine, task, step, -1)
 
     def list_racks(self) -> list[str]:
-        """Return the racks, the one with most free processors first."""
-        sums: dict[str, int] = {}
-        for one in self.vms:
-            sums[one.rack] = sums.get(one.rack, 0) + self.free[one.id].cpu
-        return sorted(sums, key=lambda rack: -sums[rack])
-
-    def _fits(self, one: vm.Vm, task: model.Task, step: model.Step) -> bool:
-        if step.label and step.label not in one.entry.labels:
+        """Return the racks, those with most free processors first."""
+        free_by_rack: dict[str, int] = {}
+        for machine in self.vms:
+            free_by_rack[machine.rack] = (
+                free_by_rack.get(machine.rack, 0) + self.free[machine.id].cpu
+            )
+        return sorted(free_by_rack, key=lambda rack: -free_by_rack[rack])
+
+    def _fits(self, machine: vm.Vm, task: model.Task, step: model.Step) -> bool:
+        if step.label and step.label not in machine.entry.labels:
             return False
-        if not step.reserved.fits_in(self.free[one.id]):
+        if not step.reserved.fits_in(self.free[machine.id]):
             return False
-        if step.spread and self._get_count(one, task) >= step.spread:
+        if step.spread and self._get_count(machine, task) >= step.spread:
             return False
-        return task not in one.runs
+        return task not in machine.runs
 
     def _score(
-        self, one: vm.Vm, task: model.Task, step: model.Step, avoid: str
+        self, machine: vm.Vm, task: model.Task, step: model.Step, avoid: str
     ) -> tuple[float, ...]:
-        far = bool(step.data_rack) and step.data_rack not in one.entry.labels
-        free = self.free[one.id].cpu
+        is_far_from_data = (
+            bool(step.data_rack) and step.data_rack not in machine.entry.labels
+        )
+        free = self.free[machine.id].cpu
         if step.lasting:
-            light = not any(run.step.lasting for run in one.runs.values())
-            return (one.id == avoid, far, self._get_count(one, task), light, -free)
-        return (one.id == avoid, far, free)
+            has_no_lasting = not any(run.step.lasting for run in machine.runs.values())
+            return (
+                machine.id == avoid,
+                is_far_from_data,
+                self._get_count(machine, task),
+                has_no_lasting,
+                -free,
+            )
+        return (machine.id == avoid, is_far_from_data, free)
 
     def _change(
-        self, one: vm.Vm, task: model.Task, step: model.Step, sign: int
+        self, machine: vm.Vm, task: model.Task, step: model.Step, sign: int
     ) -> None:
-        cpu, memory, gpus = self.free[one.id]
+        cpu, memory, gpus = self.free[machine.id]
         room = step.reserved
-        self.free[one.id] = model.Room(
+        self.free[machine.id] = model.Room(
             cpu - sign * room.cpu,
             memory - sign * room.memory,
             gpus - sign * room.gpus,
         )
-        self._add_to_count(one, task, sign)
+        self._add_to_count(machine, task, sign)
 
-    def _add_to_count(self, one: vm.Vm, task: model.Task, sign: int) -> None:
-        key = (one.id, task.job, task.occurrence, task.step)
+    def _add_to_count(self, machine: vm.Vm, task: model.Task, sign: int) -> None:
+        key = (machine.id, task.job, task.occurrence, task.step)
         self.step_counts[key] = self.step_counts.get(key, 0) + sign
 
-    def _get_count(self, one: vm.Vm, task: model.Task) -> int:
-        return self.step_counts.get((one.id, task.job, task.occurrence, task.step), 0)
+    def _get_count(self, machine: vm.Vm, task: model.Task) -> int:
+        return self.step_counts.get(
+            (machine.id, task.job, task.occurrence, task.step), 0
+        )
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -1,9 +1,9 @@
-"""One round of a leader's decisions: what to stop, start and slow down.
+"""One scheduling round of a leader: which runs to stop, start and slow down.
 
-The round is made after each change, at most some hundred times a second. Jobs
-are taken in the order of `order`; each task goes where `place` says. A step
-whose next task finds no room is left for the next round, so that a burst of
-waiting work costs one look a step and not one a task.
+A round follows each change, at most about a hundred times a second. Jobs are taken
+in the order of `priority`, and `placement` chooses the VM of each task. A step whose
+next task finds no room waits for the next round, so that a backlog costs one
+placement attempt per step and not one per task.
 """
 
 import collections
@@ -27,28 +27,28 @@
 __all__ = ["Planner"]
 
 STOP_RETRY_SECONDS = 1.2
-"""Seconds after which a stop is sent again while the run is still listed; a
-stop takes up to 0.9 s."""
+"""Seconds after which a stop is sent again if the run is still listed; a stop takes
+up to 0.9 s."""
 
 
 SCAN_PERIOD_SECONDS = 0.1
-"""Seconds between looks at all runs for those to be stopped, unless a job, a VM
-or a closing has changed: a pool of 40 VMs has some 600 runs."""
+"""Seconds between scans of all runs for those to be stopped, unless a job, a VM or a
+closing has changed: a pool of 40 VMs has some 600 runs."""
 
 
 class Planner:
-    """Makes rounds for one pool.
+    """Plans the scheduling rounds of one pool.
 
     Parameters
     ----------
     pool : core.Pool
-        The leader's belief.
+        State of the pool's leader.
     """
 
     def __init__(self, pool: core.Pool) -> None:
         self.pool = pool
         self.unmet = 0
-        """Thousandths of a core that jobs in time ask for and don't get."""
+        """Millicores that jobs which can still be on time lack."""
         self._arrivals = demand.Arrivals(pool.times.move_seconds)
         self._published_capacity = 0
         self._open_tasks: dict[str, list[model.Task]] = {}
@@ -56,19 +56,19 @@
         self._sort_inputs: dict[str, priority.SortInputs] = {}
         self._next_scan = 0.0
         self._missing_vms = 0
-        """VMs that lasting tasks lack to be apart."""
+        """Further VMs that lasting tasks need because of their spread limit."""
         self._orphaned_tasks: frozenset[model.Task] = frozenset()
-        """Tasks of which a VM lists a run that isn't this leader's."""
+        """Tasks of which a VM lists an orphaned run."""
 
     def plan(self, now: float, wall_time: float) -> list[message.Start | message.Stop]:
-        """Return the orders to give now; their runs count as started.
+        """Return the orders to give now; the runs to start are recorded as starting.
 
         Parameters
         ----------
         now : float
-            This daemon's steady time.
+            This daemon's monotonic time.
         wall_time : float
-            Seconds since 1970.
+            Unix time.
         """
         self.pool.wall_time = wall_time
         self.pool.expire_leases(now)
@@ -77,14 +77,14 @@
         self.pool.submitted_work.clear()
         self._refresh_jobs(wall_time)
         orders: list[message.Start | message.Stop] = self._stop_orphans(now)
-        table = placement.Placer(self.pool.vms.values(), now)
-        orders.extend(self._plan_stops(table, now))
-        orders.extend(self._plan_starts(table, now, wall_time))
+        placer = placement.Placer(self.pool.vms.values(), now)
+        orders.extend(self._plan_stops(placer, now))
+        orders.extend(self._plan_starts(placer, now, wall_time))
         return orders
 
-    def plan_paces(self, one: vm.Vm) -> list[message.Pace]:
-        """Return the changes of pace of a VM's filling runs after an answer."""
-        running = [r for r in one.runs.values() if r.state is vm.RunState.RUNNING]
+    def plan_paces(self, machine: vm.Vm) -> list[message.Pace]:
+        """Return the changes of pace for a VM's filling runs after its answer."""
+        running = [r for r in machine.runs.values() if r.state is vm.RunState.RUNNING]
         filling = [run for run in running if run.step.fills]
         serving = [(run.load / 1000, run) for run in running if run.step.target]
         changes = []
@@ -95,26 +95,28 @@
         return changes
 
     def exceeds_published_capacity(self, now: float) -> bool:
-        """Whether more is handed in than the VMs last shown keep up with."""
+        """Return whether arrivals exceed the capacity in the last status."""
         return 1000 * self._arrivals.compute_rate(now) > self._published_capacity
 
     def build_status(self, now: float, wall_time: float) -> pool_record.PoolStatus:
-        """Return what other daemons are shown."""
+        """Return the status to publish to other daemons."""
         arriving = self._arrivals.compute_rate(now)
-        needed = demand.compute_demand(self._sort_inputs.values(), arriving, wall_time)
-        made = status.build_status(self.pool, self.unmet, needed)
-        self._published_capacity = made.batch_capacity
-        return made
+        demanded = demand.compute_demand(
+            self._sort_inputs.values(), arriving, wall_time
+        )
+        published = status.build_status(self.pool, self.unmet, demanded)
+        self._published_capacity = published.batch_capacity
+        return published
 
     def count_empty_vms(self) -> int:
-        """Return how many VMs that are to be vacated hold nothing any more."""
+        """Return the number of closed VMs that run nothing any more."""
         return len(status.list_empty_vms(self.pool))
 
     # -- open tasks
 
     def _refresh_jobs(self, wall_time: float) -> None:
-        """Compute the open tasks of changed jobs anew; settle cancelled ones."""
-        due = [id for id, when in self._next_due.items() if when <= wall_time]
+        """Recompute the open tasks of changed jobs, and finalize cancelled jobs."""
+        due = [id for id, next_due in self._next_due.items() if next_due <= wall_time]
         changed, self.pool.changed_jobs = self.pool.changed_jobs | set(due), set()
         for id in changed:
             self._next_due.pop(id, None)
@@ -128,8 +130,8 @@
                 continue
             self._open_tasks[id] = list(state.list_open_tasks(wall_time))
             self._sort_inputs[id] = self.pool.get_sort_inputs(state)
-            if state.job.times and (when := state.compute_next_due(wall_time)):
-                self._next_due[id] = when
+            if state.job.times and (next_due := state.compute_next_due(wall_time)):
+                self._next_due[id] = next_due
 
     def _finalize_cancelled(self, state: progress.Progress) -> None:
         id = state.job.id
@@ -148,7 +150,7 @@
 
     # -- stops
 
-    def _plan_stops(self, table: placement.Placer, now: float) -> list[message.Stop]:
+    def _plan_stops(self, placer: placement.Placer, now: float) -> list[message.Stop]:
         if now < self._next_scan and not self.pool.must_scan:
             return []
         self.pool.must_scan = False
@@ -162,24 +164,24 @@
                 continue
             elif (
                 not self.pool.is_wanted(run)
-                or self._must_vacate(run, table)
-                or self._must_restart_elsewhere(run, table, now)
+                or self._must_vacate(run, placer)
+                or self._must_restart_elsewhere(run, placer, now)
             ):
                 stops.append(self._stop(run, now))
         return stops
 
     def _must_restart_elsewhere(
-        self, run: vm.Run, table: placement.Placer, now: float
+        self, run: vm.Run, placer: placement.Placer, now: float
     ) -> bool:
-        """Whether a run is to begin again elsewhere for its VM's sake."""
+        """Return whether a run must be restarted elsewhere as its VM is degraded."""
         if run.task in self.pool.relocated:
             return False
         stuck = health.is_stuck(run)
         if not stuck and not self._is_slow(run, now):
             return False
-        what = "stands still" if stuck else "slow"
-        self.pool.record_degraded_run(run, what, now)
-        elsewhere = table.choose(run.task, run.step, avoid=run.vm.id)
+        reason = "no progress" if stuck else "slow"
+        self.pool.record_degraded_run(run, reason, now)
+        elsewhere = placer.choose(run.task, run.step, avoid=run.vm.id)
         if elsewhere in (None, run.vm) and not (stuck and run.vm.is_quarantined(now)):
             return False
         self.pool.relocated.add(run.task)
@@ -187,21 +189,23 @@
         return True
 
     def _is_slow(self, run: vm.Run, now: float) -> bool:
-        """Whether a run crawls for its VM's sake, not its job's."""
+        """Return whether a run is slow because of its VM and not of its job."""
         if not health.is_slow(run, now):
             return False
         run.vm.record_slow_job(run.task.job, now)
-        peers = [one for one in self.pool.live.values() if one.task[:3] == run.task[:3]]
+        peers = [
+            other for other in self.pool.live.values() if other.task[:3] == run.task[:3]
+        ]
         slower = health.is_slower_than_peers(run, peers)
         return run.vm.is_slow(now) if slower is None else slower
 
     def _stop_orphans(self, now: float) -> list[message.Start | message.Stop]:
         stops: list[message.Start | message.Stop] = []
-        for one in self.pool.vms.values():
-            for (task, number), sent in one.orphans.items():
+        for machine in self.pool.vms.values():
+            for (task, number), sent in machine.orphans.items():
                 if now - sent > STOP_RETRY_SECONDS:
-                    one.orphans[task, number] = now
-                    stops.append(message.Stop(one, task, number))
+                    machine.orphans[task, number] = now
+                    stops.append(message.Stop(machine, task, number))
         return stops
 
     def _stop(self, run: vm.Run, now: float) -> message.Stop:
@@ -209,27 +213,27 @@
         run.stop_sent = now
         return message.Stop(run.vm, run.task, run.number)
 
-    def _must_vacate(self, run: vm.Run, table: placement.Placer) -> bool:
-        """Whether a lasting run is to be moved off a VM that goes away.
+    def _must_vacate(self, run: vm.Run, placer: placement.Placer) -> bool:
+        """Return whether a lasting run must leave its VM, which is closed or leaving.
 
-        No more of its step may be away than it may miss, whatever the cause,
-        but where a VM leaves by itself: there its tasks end in any case. Nothing
-        is stopped before there is room for it elsewhere.
+        The step keeps to its ``max_unavailable``, whatever the cause of the missing
+        tasks, unless the VM is leaving: there its tasks end in any case. Nothing is
+        stopped before there is room for it elsewhere.
         """
-        one = run.vm
-        if not run.step.lasting or not (one.closed or one.entry.leaving):
+        machine = run.vm
+        if not run.step.lasting or not (machine.closed or machine.entry.leaving):
             return False
-        others = self.pool.count_unavailable(run.task.job, run.task.step)
+        unavailable = self.pool.count_unavailable(run.task.job, run.task.step)
         if not run.is_at_work:
-            others -= 1  # it may have come to work since it was last listed
-        if others + 1 > run.step.max_unavailable and not one.entry.leaving:
+            unavailable -= 1  # it may have become available since it was last listed
+        if unavailable + 1 > run.step.max_unavailable and not machine.entry.leaving:
             return False
-        return table.choose(run.task, run.step) is not None
+        return placer.choose(run.task, run.step) is not None
 
     # -- starts
 
     def _plan_starts(
-        self, table: placement.Placer, now: float, wall_time: float
+        self, placer: placement.Placer, now: float, wall_time: float
     ) -> list[message.Start]:
         starts: list[message.Start] = []
         self.unmet = 0
@@ -244,18 +248,20 @@
             state = self.pool.jobs[id]
             if self.pool.may_have_run(state):
                 continue
-            left = self._place_job(table, state, now, starts)
-            if key.group <= priority.IN_TIME:
-                self.unmet += left
+            unmet = self._place_job(placer, state, now, starts)
+            if key.group <= priority.ON_TIME:
+                self.unmet += unmet
         self.unmet = max(self.unmet, self._missing_vms * self._get_largest_vm_cpu())
         return starts
 
     def _get_largest_vm_cpu(self) -> int:
-        """Return the processors of the largest VM."""
-        return max((one.entry.room.cpu for one in self.pool.vms.values()), default=0)
+        """Return the millicores of the largest VM."""
+        return max(
+            (machine.entry.room.cpu for machine in self.pool.vms.values()), default=0
+        )
 
     def _is_free(self, task: model.Task) -> bool:
-        """Whether no run of a task is known, be it ours or one being stopped."""
+        """Return whether a task has neither a live nor an orphaned run."""
         return task not in self.pool.live and task not in self._orphaned_tasks
 
     def _get_key(self, id: str, wall_time: float) -> priority.SortKey:
@@ -265,47 +271,47 @@
 
     def _place_job(
         self,
-        table: placement.Placer,
+        placer: placement.Placer,
         state: progress.Progress,
         now: float,
         starts: list[message.Start],
     ) -> int:
-        """Start what can be started; return the processors still asked for."""
+        """Start the tasks that fit; return the millicores that the others lack."""
         unmet = 0
-        full: set[tuple[int, int]] = set()
-        left: collections.Counter[int] = collections.Counter()
+        full_steps: set[tuple[int, int]] = set()
+        unplaced: collections.Counter[int] = collections.Counter()
         for task in self._open_tasks[state.job.id]:
             step = state.job.steps[task.step]
             if not self._is_free(task):
                 continue
-            if task[1:3] in full or step.reserved.cpu > table.max_free_cpu:
-                left[task.step] += 1
+            if task[1:3] in full_steps or step.reserved.cpu > placer.max_free_cpu:
+                unplaced[task.step] += 1
                 unmet += step.reserved.cpu
                 continue
             if now < self.pool.not_before.get(task, 0.0):
                 continue
             if step.gang:
                 if task.index == 0:
-                    self._place_gang(table, state, task, now, starts)
+                    self._place_gang(placer, state, task, now, starts)
                 continue
-            start = self._place_task(table, state, task, now)
+            start = self._place_task(placer, state, task, now)
             if start is not None:
                 starts.append(start)
                 continue
-            full.add(task[1:3])
-            left[task.step] += 1
+            full_steps.add(task[1:3])
+            unplaced[task.step] += 1
             unmet += step.reserved.cpu
-        self._record_missing_vms(state, left)
+        self._record_missing_vms(state, unplaced)
         return unmet
 
     def _record_missing_vms(
-        self, state: progress.Progress, left: collections.Counter[int]
+        self, state: progress.Progress, unplaced: collections.Counter[int]
     ) -> None:
-        """Take note of the VMs that lasting tasks lack to be apart.
+        """Record how many further VMs a spread limit of lasting tasks requires.
 
-        Jobs share VMs, so the most that one of them lacks will do for all.
+        Jobs share VMs, so that the largest number required by a job suffices for all.
         """
-        for number, count in left.items():
+        for number, count in unplaced.items():
             step = state.job.steps[number]
             if step.lasting and step.spread:
                 vms = math.ceil(count / step.spread)
@@ -313,7 +319,7 @@
 
     def _place_task(
         self,
-        table: placement.Placer,
+        placer: placement.Placer,
         state: progress.Progress,
         task: model.Task,
         now: float,
@@ -322,44 +328,46 @@
         allowed = None if tickets is None else frozenset(tickets)
         avoid = self.pool.failed_on.get(task, "")
         step = state.job.steps[task.step]
-        chosen = table.choose(task, step, avoid=avoid, allowed=allowed)
+        chosen = placer.choose(task, step, avoid=avoid, allowed=allowed)
         if chosen is None:
             return None
         number = self.pool.next_run_number(task)
-        held = tickets[chosen.id] if tickets else ""
-        return self._start(state, task, number, chosen, now, held)
+        ticket = tickets[chosen.id] if tickets else ""
+        return self._start(state, task, number, chosen, now, ticket)
 
     def _get_tickets(
         self, state: progress.Progress, task: model.Task, now: float
     ) -> dict[str, str] | None:
-        """Return the tickets of a task's step by VM; None if it needs none."""
+        """Return the tickets of a task's step by VM, or None if it needs none."""
         if not self.pool.needs_ticket(state):
             return None
         return self.pool.tickets.get(advice.StepName(*task[:3]), now)
 
     def _place_gang(
         self,
-        table: placement.Placer,
+        placer: placement.Placer,
         state: progress.Progress,
         first: model.Task,
         now: float,
         starts: list[message.Start],
     ) -> None:
-        """Start all members of a gang with one number, or none."""
+        """Start all members of a gang under one run number, or none."""
         step = state.job.steps[first.step]
         tasks = [first._replace(index=index) for index in range(step.count)]
         if not all(self._is_free(task) for task in tasks):
             return
-        racks = table.list_racks() if step.same_rack else [""]
+        racks = placer.list_racks() if step.same_rack else [""]
         tickets = self._get_tickets(state, first, now)
         allowed = None if tickets is None else frozenset(tickets)
         for rack in racks:
-            chosen = _choose_gang_vms(table, tasks, step, rack, allowed)
+            chosen = _choose_gang_vms(placer, tasks, step, rack, allowed)
             if chosen:
                 number = self.pool.next_gang_run_number(tasks)
-                for task, one in zip(tasks, chosen, strict=True):
-                    held = tickets[one.id] if tickets else ""
-                    starts.append(self._start(state, task, number, one, now, held))
+                for task, machine in zip(tasks, chosen, strict=True):
+                    ticket = tickets[machine.id] if tickets else ""
+                    starts.append(
+                        self._start(state, task, number, machine, now, ticket)
+                    )
                 return
 
     def _start(
@@ -369,7 +377,7 @@
         number: int,
         chosen: vm.Vm,
         now: float,
-        held: str,
+        ticket: str,
     ) -> message.Start:
         step = state.job.steps[task.step]
         run = vm.Run(task, number, chosen, step, now)
@@ -377,25 +385,25 @@
         self.pool.live[task] = run
         checkpoint = state.get_checkpoint(task)
         start = workers.Start(
-            task, number, state.job.spec, 0.0, self.pool.fence, checkpoint, held
+            task, number, state.job.spec, 0.0, self.pool.fence, checkpoint, ticket
         )
         return message.Start(run, start)
 
 
 def _choose_gang_vms(
-    table: placement.Placer,
+    placer: placement.Placer,
     tasks: list[model.Task],
     step: model.Step,
     rack: str,
     allowed: frozenset[str] | None,
 ) -> list[vm.Vm]:
-    """Choose a VM for each of the tasks, or return none and give room back."""
+    """Choose a VM for each of the tasks, or release all room and return none."""
     chosen: list[vm.Vm] = []
     for task in tasks:
-        one = table.choose(task, step, rack=rack, allowed=allowed)
-        if one is None:
+        machine = placer.choose(task, step, rack=rack, allowed=allowed)
+        if machine is None:
             for taken, earlier in zip(chosen, tasks, strict=False):
-                table.release(taken, earlier, step)
+                placer.release(taken, earlier, step)
             return []
-        chosen.append(one)
+        chosen.append(machine)
     return chosen
--- a/wigeonhitch/pool/record.py
+++ b/wigeonhitch/pool/record.py
@@ -1,4 +1,4 @@
-"""Rows of a pool's leader: the roster of VMs in use, and what it shows."""
+"""Rows of a pool's leader: the roster of VMs in use and the published status."""
 
 import zlib
 from typing import Any, NamedTuple
@@ -26,68 +26,68 @@
 ROSTER_TABLE = "roster"
 STATUS_TABLE = "board"
 HOLDER_TABLE = "holder"
-"""Rows beside those of jobs: the pool that accepted a job, of all pools."""
+"""Table that holds, for the jobs of all pools, the pool that accepted each job."""
 
 JOB_TABLES = 32
-"""Tables over which jobs are spread by pool: a leader follows one of them and
-reads little of other pools' jobs; the store holds at most 100 tables."""
+"""Number of tables over which jobs are spread by pool, so that a leader follows one
+table and reads few jobs of other pools; the store holds at most 100 tables."""
 
 JOB_PARTS = 64
-"""Parts over which jobs are spread. A part takes one transaction after
-another, and refuses once a second's worth of them waits: with a store that takes 0.26 s
-for each, a burst of 100 jobs a second needs 26 parts that are filled evenly."""
+"""Number of parts over which jobs are spread. A part applies its transactions one by
+one and refuses more once a second's worth is waiting. With a store that takes 0.26 s
+for each, a burst of 100 jobs a second needs 26 evenly filled parts."""
 
 
 def get_job_table(pool: str) -> str:
-    """Return the table in which a pool's jobs lie."""
+    """Return the table that holds a pool's jobs."""
     return f"{JOB_TABLE}{zlib.crc32(pool.encode()) % JOB_TABLES:02}"
 
 
 def get_job_part(id: str) -> str:
-    """Return the part in which a job lies, whichever pool holds it.
+    """Return the part that holds a job, whichever its pool.
 
-    So one transaction within a part can tell that no pool has a job.
+    A single transaction within that part can thus check that no pool has the job.
     """
     return f"~job.{zlib.crc32(id.encode()) % JOB_PARTS}"
 
 
 def list_job_parts() -> list[str]:
-    """Return all parts in which jobs lie."""
+    """Return all parts that hold jobs."""
     return [f"~job.{number}" for number in range(JOB_PARTS)]
 
 
 class PoolStatus(NamedTuple):
-    """What the leader shows to other daemons.
+    """Status of a pool as published by its leader.
 
-    ``waiting`` counts jobs without a started task by queue; ``unmet`` and
-    ``idle`` are thousandths of a core that waiting tasks ask for and that are
-    free, for moving VMs between pools.
+    ``waiting`` counts jobs without a started task by queue. ``unmet`` are the
+    millicores that waiting tasks lack and ``idle`` the free ones; both are used to
+    move VMs between pools.
     """
 
     waiting: dict[str, int]
     unmet: int = 0
     idle: int = 0
     empty: tuple[str, ...] = ()
-    """VMs to be vacated that hold nothing any more."""
+    """Closed VMs that run nothing any more."""
     light: tuple[str, ...] = ()
-    """Open VMs without lasting tasks, which could go to another pool."""
+    """Open VMs without lasting tasks, which could move to another pool."""
     bare: tuple[str, ...] = ()
-    """Those of them that run nothing at all."""
+    """Those of ``light`` that run nothing at all."""
     peak_demand: int = 0
-    """Thousandths of a core that batch work in time could use at once."""
+    """Millicores that batch jobs on time could use in parallel."""
     min_demand: int = 0
-    """The same for it to be just in time."""
+    """Millicores that batch jobs need to finish just on time."""
     batch_capacity: int = 0
-    """What the pool's open VMs have for batch work."""
+    """Millicores that the pool's open VMs have for batch work."""
     arriving_demand: int = 0
-    """What would keep up with the jobs that are handed in now."""
+    """Millicores that keep up with the current arrivals."""
     closings: int = 0
-    """The store's version at which the leader knew which VMs are to be vacated;
-    told with ``empty``."""
+    """The store's version up to which the leader knew the closed VMs; published with
+    ``empty``."""
 
 
 def write_roster(address: str) -> bytes:
-    """Return a roster row: the VM may run tasks of the pool."""
+    """Return a roster row, which says that the VM may run tasks of the pool."""
     return orjson.dumps({"address": address})
 
 
@@ -96,34 +96,34 @@
     return orjson.loads(value)["address"]
 
 
-def write_status(board: PoolStatus) -> bytes:
-    """Return a board row."""
-    row: dict[str, Any] = {"waiting": board.waiting, "unmet": board.unmet}
-    row["idle"] = board.idle
+def write_status(status: PoolStatus) -> bytes:
+    """Return a status row."""
+    row: dict[str, Any] = {"waiting": status.waiting, "unmet": status.unmet}
+    row["idle"] = status.idle
     row["need"] = [
-        board.peak_demand,
-        board.min_demand,
-        board.batch_capacity,
-        board.arriving_demand,
+        status.peak_demand,
+        status.min_demand,
+        status.batch_capacity,
+        status.arriving_demand,
     ]
-    if board.empty:
-        row["empty"] = list(board.empty)
-        row["closings"] = board.closings
-    if board.light:
-        row["light"] = list(board.light)
-    if board.bare:
-        row["bare"] = list(board.bare)
+    if status.empty:
+        row["empty"] = list(status.empty)
+        row["closings"] = status.closings
+    if status.light:
+        row["light"] = list(status.light)
+    if status.bare:
+        row["bare"] = list(status.bare)
     return orjson.dumps(row)
 
 
 def read_status(value: bytes) -> PoolStatus:
-    """Read a board row."""
+    """Read a status row."""
     row = orjson.loads(value)
     empty = tuple(row.get("empty", ()))
     light = tuple(row.get("light", ()))
     bare = tuple(row.get("bare", ()))
     figures = (row.get("unmet", 0), row.get("idle", 0))
-    board = PoolStatus(
+    status = PoolStatus(
         row["waiting"], *figures, empty, light, bare, *row.get("need", ())
     )
-    return board._replace(closings=row.get("closings", 0))
+    return status._replace(closings=row.get("closings", 0))
--- a/wigeonhitch/pool/runner.py
+++ b/wigeonhitch/pool/runner.py
@@ -1,4 +1,4 @@
-"""The task that leads one pool: carries out orders and feeds back answers."""
+"""Runner of one pool's leader: sends its orders and feeds back the answers."""
 
 import time
 
@@ -26,45 +26,49 @@
 __all__ = ["Runner"]
 
 COMMIT_TIMEOUT_SECONDS = 1.0
-"""Seconds for one transaction: 4 ms as a rule, 0.25 s where the store is slow."""
+"""Time limit in seconds for a transaction: most take 4 ms, and 0.25 s if the store is
+slow."""
 
 COMPACTION_PERIOD_SECONDS = 0.25
-"""Seconds between transactions on rows of final jobs; 20 rows go in each, and a
-pool completes some three jobs a second."""
+"""Seconds between transactions that compact rows of final jobs: each holds 20 rows,
+and a pool completes some three jobs a second."""
 
 QUICK_COMMIT_SECONDS = 0.05
-"""Seconds up to which a transaction's answer counts as quick."""
+"""Seconds below which a transaction counts as quick; rows are compacted only then."""
 
 RETRY_SECONDS = 0.1
-"""Seconds between tries of a call that failed."""
+"""Seconds before a failed call is retried."""
 
 MIN_ROUND_INTERVAL = 0.008
-"""Seconds between two rounds of decisions at least: ends and jobs that come
-together are decided together, and a tenth of a second a step isn't felt."""
+"""Minimum seconds between two scheduling rounds, so that ends and jobs that arrive
+together are handled together; far below the tenth of a second per step that would
+matter to a job."""
 
 MAX_ROUND_INTERVAL = 0.25
-"""Seconds between two rounds at most: lapses and due times are found by time."""
+"""Maximum seconds between two rounds: lapsed leases and due times are only detected
+in a round."""
 
 COMMIT_WAIT_SECONDS = 0.6
-"""Seconds to wait for the commit of a VM's ends before it is held anew."""
+"""Seconds to wait for the commit of a VM's ends before its leases are renewed again."""
 
 TICKET_POLL_SECONDS = 0.02
-"""Seconds between looks at which tickets are wanted."""
+"""Seconds between checks for requested tickets."""
 
 TICKET_TIMEOUT_SECONDS = 2.0
-"""Seconds for one call for tickets, which waits for others of this daemon."""
+"""Time limit in seconds for a ticket request, which queues behind others of this
+daemon."""
 
 STATUS_PERIOD_SECONDS = 0.5
-"""Seconds between two writings of the board, if it changed; readers may see
-counts up to 2 s old."""
+"""Seconds between two writes of a changed status; readers accept counts up to 2 s
+old."""
 
 MIN_STATUS_INTERVAL_SECONDS = 0.1
-"""The same where VMs have become empty or a burst has begun: each tenth of a
-second of a burst of 4.5 s counts for the VMs that are sent."""
+"""The same in seconds when VMs have become empty or a burst has begun: each tenth of a
+second of a burst of 4.5 s matters to the VMs that are moved for it."""
 
 
 class Runner:
-    """Leads one pool from its claim until it is given up or lost."""
+    """Leads one pool from its claim until leadership is given up or lost."""
 
     def __init__(
         self,
@@ -100,34 +104,34 @@
     # -- events from the daemon
 
     def on_queues(self, queues: tuple[model.Queue, ...]) -> None:
-        """Take the queues of the configuration in force."""
+        """Apply the queues of the configuration in force."""
         self.pool.on_queues(queues)
         self._wake()
 
     def on_worker(self, entry: entries.WorkerEntry, read_at: float) -> None:
-        """Take a worker's entry, read at this daemon's time ``read_at``."""
+        """Apply a worker's entry, read at this daemon's time ``read_at``."""
         self.pool.on_worker(entry, read_at)
         self._wake()
 
     def on_worker_removed(self, id: str) -> None:
-        """Take note that a worker's entry has gone."""
+        """Record that a worker's entry was removed."""
         self.pool.on_worker_removed(id)
         self._wake()
 
     def set_closings(self, closed: list[maintenance.Closing], version: int) -> None:
-        """Take the workers to be vacated or ended, as known at a store's version."""
+        """Set the workers to be vacated or ended, as known at a store's version."""
         self._source.take_closings(closed, version)
 
     def compute_max_granted_lease(self) -> float:
-        """Return the longest lease that a worker may still have of this leader."""
+        """Return the longest lease that a worker may still have."""
         return self._dispatcher.compute_max_granted_lease()
 
     def stop(self) -> None:
-        """Give up leading; nothing is ordered afterwards."""
+        """Stop leading; no order is sent afterwards."""
         self._term.end()
         self._scope.cancel()
 
-    # -- the task
+    # -- background tasks
 
     async def run(self) -> None:
         """Lead until stopped or deposed."""
@@ -156,18 +160,18 @@
                 await self._wake_round.wait()
 
     def _run_round(self, group: anyio.abc.TaskGroup) -> None:
-        for one in list(self.pool.vms.values()):
-            if one.id not in self._dispatcher.renewing:
-                self._dispatcher.renewing.add(one.id)
-                group.start_soon(self._dispatcher.renew_until_gone, one)
+        for machine in list(self.pool.vms.values()):
+            if machine.id not in self._dispatcher.renewing:
+                self._dispatcher.renewing.add(machine.id)
+                group.start_soon(self._dispatcher.renew_until_gone, machine)
         orders = self.planner.plan(http.read_clock(), time.time())
-        urgent = (
+        triggers = (
             self.planner.unmet > 0,
             self.planner.exceeds_published_capacity(http.read_clock()),
             self.planner.count_empty_vms(),
         )
-        if urgent != self._status_triggers:
-            self._status_triggers = urgent
+        if triggers != self._status_triggers:
+            self._status_triggers = triggers
             self._wake_status.set()
         for order in orders:
             if isinstance(order, message.Start):
@@ -176,32 +180,32 @@
                 group.start_soon(self._dispatcher.send_stop, order)
 
     async def _request_tickets(self) -> None:
-        """Ask for tickets, one call at a time, as the service takes them."""
+        """Request tickets, one call at a time, as the service requires."""
         while True:
             step = self.pool.tickets.pop_requested()
             if step is None:
                 await anyio.sleep(TICKET_POLL_SECONDS)
                 continue
             now = http.read_clock()
-            named = ticket.select_vms(self.pool.vms.values(), now)
+            candidates = ticket.select_vms(self.pool.vms.values(), now)
             opinion = await self.deps.advice.ask(
-                step, named, timeout=TICKET_TIMEOUT_SECONDS
+                step, candidates, timeout=TICKET_TIMEOUT_SECONDS
             )
             self.pool.tickets.on_opinion(step, opinion, now)
             self._log_event(
-                "tickets asked for",
+                "tickets requested",
                 job=step.job,
                 step=step[1:],
-                named=len(named),
+                named=len(candidates),
                 got=None if opinion.tickets is None else len(opinion.tickets),
                 reason=opinion.reason,
             )
             self._wake()
 
-    async def _wait_until_committed(self, one: vm.Vm) -> None:
-        """Wait for the commit of seen ends, but not beyond the next renewal."""
+    async def _wait_until_committed(self, machine: vm.Vm) -> None:
+        """Wait for the commit of processed ends, but not beyond the next renewal."""
         with anyio.move_on_after(COMMIT_WAIT_SECONDS):
-            while one.committed_end < one.processed_end:
+            while machine.committed_end < machine.processed_end:
                 self._wake_commit.set()
                 await self._committed.wait()
 
@@ -231,15 +235,17 @@
         )
         result = self.pool.ledger.on_result(batch, change)
         if result.deposed:
-            self._log_event("another leader's claim was found", fence=self.pool.fence)
+            self._log_event(
+                "deposed: owner row has a newer claim", fence=self.pool.fence
+            )
             self.pool.deposed = True
             self._wake()
         conflict = change.reason == "conflict"
         self._commits.note(result.done or conflict, change.reason, pool=self.owner.pool)
         if conflict:
-            listed = {row.key: row.version for row in change.conflicts}
+            found_versions = {row.key: row.version for row in change.conflicts}
             self._log_event(
-                "commit of ends conflicts", fence=self.pool.fence, found=listed
+                "commit of ends conflicts", fence=self.pool.fence, found=found_versions
             )
         if not result.done:
             self.pool.on_finals_durable(result.durable_finals)
@@ -247,22 +253,22 @@
         for id in batch.vms:
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
-        self.pool.on_finals_durable(batch.finals)
+        self.pool.on_finals_durable(batch.final_jobs)
         self._record_commit(batch.processed_ends)
-        if batch.vms or batch.finals:
+        if batch.vms or batch.final_jobs:
             self._wake()
         return True
 
-    def _record_commit(self, seen: dict[str, int]) -> None:
-        for id, number in seen.items():
-            one = self.pool.vms.get(id)
-            if one is not None:
-                one.committed_end = max(one.committed_end, number)
+    def _record_commit(self, processed_ends: dict[str, int]) -> None:
+        for id, number in processed_ends.items():
+            machine = self.pool.vms.get(id)
+            if machine is not None:
+                machine.committed_end = max(machine.committed_end, number)
         self._committed.set()
         self._committed = anyio.Event()
 
     async def _compact_rows(self) -> None:
-        """Shrink and remove rows of final jobs while the store is quick."""
+        """Compact and remove rows of final jobs while the store is quick."""
         while True:
             await anyio.sleep(COMPACTION_PERIOD_SECONDS)
             if not self.deps.may_order() or not self._is_store_quick:
@@ -277,33 +283,33 @@
             self.pool.ledger.drop_progress(self.pool.compactor.on_result(work, change))
 
     async def _publish_status(self) -> None:
-        shown = None
+        published = None
         while True:
-            board = self.planner.build_status(http.read_clock(), time.time())
-            if board != shown and self.deps.may_order():
+            status = self.planner.build_status(http.read_clock(), time.time())
+            if status != published and self.deps.may_order():
                 owner = leader_record.expect_owner(self.owner.pool, self.owner.version)
                 write = rows.Write(
                     pool_record.STATUS_TABLE,
                     self.owner.pool,
                     pool_record.STATUS_TABLE,
-                    pool_record.write_status(board),
+                    pool_record.write_status(status),
                 )
                 change = await self.deps.store.commit(
                     rows.Transaction((owner,), (write,)), timeout=COMMIT_TIMEOUT_SECONDS
                 )
                 if change.outcome is table.Outcome.DONE:
-                    shown = board
+                    published = status
             self._wake_status = anyio.Event()
             await anyio.sleep(MIN_STATUS_INTERVAL_SECONDS)
             with anyio.move_on_after(STATUS_PERIOD_SECONDS):
                 await self._wake_status.wait()
 
-    # -- small
+    # -- helpers
 
     def _wake(self) -> None:
         self._wake_round.set()
         if self.pool.ledger.has_work:
             self._wake_commit.set()
 
-    def _log_event(self, what: str, **fields: object) -> None:
-        log.log_change(what, pool=self.owner.pool, **fields)
+    def _log_event(self, event: str, **fields: object) -> None:
+        log.log_change(event, pool=self.owner.pool, **fields)
--- a/wigeonhitch/pool/source.py
+++ b/wigeonhitch/pool/source.py
@@ -1,4 +1,4 @@
-"""Brings a pool's rows to its leader: read at the takeover, then followed."""
+"""Rows of a pool for its leader: read at the takeover, then followed."""
 
 from collections.abc import Callable
 
@@ -15,16 +15,17 @@
 __all__ = ["Source"]
 
 FEED_WAIT = 1.0
-"""Seconds that a feed waits; a silent connection is found after it."""
+"""Seconds that a call to the feed waits for changes; a dead connection is detected
+after it."""
 
 READ_TIMEOUT = 1.5
-"""Seconds for a range of rows."""
+"""Time limit in seconds for reading a range of rows."""
 
 FEED_SLACK = 0.5
-"""Seconds beyond the wait after which the feed's call counts as lost."""
+"""Seconds beyond `FEED_WAIT` after which a call to the feed counts as lost."""
 
 RETRY_SECONDS = 0.1
-"""Seconds between tries of a call that failed."""
+"""Seconds before a failed call is retried."""
 
 
 class Source:
@@ -33,11 +34,11 @@
     Parameters
     ----------
     pool : core.Pool
-        Takes what is read.
+        Receives the rows.
     store : rows.RowStore
         The platform's store.
     wake : callable
-        Called when something new was read.
+        Called after new rows.
     """
 
     def __init__(
@@ -49,28 +50,28 @@
         self._log_event = pool.log_event
         self._job_table = pool_record.get_job_table(pool.name)
         self._unreadable: set[str] = set()
-        """Jobs whose rows can't be read; what is noted of them is left."""
+        """Jobs whose rows can't be read; their progress rows are left alone."""
         self._job_parts = frozenset(pool_record.list_job_parts())
 
     def take_closings(self, closed: list[maintenance.Closing], version: int) -> None:
-        """Take the workers that are to be vacated, or have ended by an order.
+        """Set the workers that are to be vacated, or that have ended by an order.
 
         Parameters
         ----------
         closed : list of record.Closing
-            All of them; others are open.
+            All of them; other workers are open.
         version : int
-            The store's, at which this is known.
+            The store's version at which the list was known.
         """
         self._pool.set_closed(
-            frozenset(one.worker for one in closed),
-            frozenset(one.worker for one in closed if one.ended),
+            frozenset(closing.worker for closing in closed),
+            frozenset(closing.worker for closing in closed if closing.ended),
             version,
         )
         self._wake()
 
     async def load(self) -> int:
-        """Read the pool's rows; return the version to follow jobs from."""
+        """Read the pool's rows; return the version from which to follow the jobs."""
         part = self._pool.name
         version = await self._load_jobs()
         progress = await self._read_all(pool_record.PROGRESS_TABLE, part)
@@ -92,7 +93,7 @@
         return version
 
     async def _load_jobs(self) -> int:
-        """Read all parts of the jobs side by side; return the oldest version."""
+        """Read all parts of the jobs in parallel; return the oldest version."""
         versions: list[int] = []
 
         async def load(part: str) -> None:
@@ -106,12 +107,14 @@
                 group.start_soon(load, part)
         return min(versions)
 
-    async def _read_all(self, name: str, part: str) -> rows.Range:
+    async def _read_all(self, table_name: str, part: str) -> rows.Range:
         while True:
-            found = await self._store.read(name, part, timeout=READ_TIMEOUT)
-            if found.outcome is table.Outcome.DONE:
-                return found
-            self._log_event("rows not read", table=name, reason=found.reason)
+            read_range = await self._store.read(table_name, part, timeout=READ_TIMEOUT)
+            if read_range.outcome is table.Outcome.DONE:
+                return read_range
+            self._log_event(
+                "rows could not be read", table=table_name, reason=read_range.reason
+            )
             await anyio.sleep(RETRY_SECONDS)
 
     def _take_job(self, row: rows.Row) -> None:
@@ -120,15 +123,15 @@
         try:
             read = record.read_job(row.key, row.value)
         except (ValueError, KeyError, TypeError) as error:
-            log.log_problem("job row left out", job=row.key, reason=str(error))
+            log.log_problem("job row not readable", job=row.key, reason=str(error))
             self._unreadable.add(row.key)
             return
         if read.pool != self._pool.name:
-            return  # the table holds jobs of other pools too
+            return  # the table also holds jobs of other pools
         if row.key not in self._pool.jobs and read.job is not None:
             self._log_event("job taken over", job=row.key, version=row.version)
-        place = compaction.RowLocation(row.table, row.part)
-        self._pool.on_job(row.key, read, row.version, place)
+        location = compaction.RowLocation(row.table, row.part)
+        self._pool.on_job(row.key, read, row.version, location)
 
     async def follow(self, after: int) -> None:
         """Follow the jobs after a version, until cancelled."""
@@ -137,7 +140,7 @@
                 self._job_table, after, wait=FEED_WAIT, timeout=FEED_WAIT + FEED_SLACK
             )
             if feed.expired:
-                self._log_event("feed of jobs read anew", after=after)
+                self._log_event("job feed expired; rows read again", after=after)
                 after = await self._load_jobs()
                 self._wake()
                 continue
--- a/wigeonhitch/pool/status.py
+++ b/wigeonhitch/pool/status.py
@@ -1,4 +1,4 @@
-"""What a pool's leader shows of it to other daemons."""
+"""Status of a pool that its leader publishes to other daemons."""
 
 from wigeonhitch.jobs import model
 from wigeonhitch.pool import demand, record, view, vm
@@ -6,65 +6,67 @@
 __all__ = ["build_status", "list_empty_vms"]
 
 STATUS_STEP_MILLICORES = 4000
-"""Thousandths of a core by which the board's figures go: an eighth of a VM."""
+"""Millicores to which published figures are rounded down: an eighth of a VM."""
 
 
 def build_status(
-    pool: view.PoolView, unmet: int, needed: demand.Demand
+    pool: view.PoolView, unmet: int, demanded: demand.Demand
 ) -> record.PoolStatus:
-    """Return the board; ``unmet`` in thousandths of a core."""
+    """Return the status to publish; ``unmet`` is in millicores."""
     idle = sum(
-        one.compute_free_room().cpu
-        for one in pool.vms.values()
-        if one.listed and not one.closed and not one.entry.leaving
+        machine.compute_free_room().cpu
+        for machine in pool.vms.values()
+        if machine.listed and not machine.closed and not machine.entry.leaving
     )
-    empty = tuple(sorted(one.id for one in list_empty_vms(pool)))
-    light = [one for one in pool.vms.values() if _is_light(one)]
-    # In whole steps, so that the row isn't written for each small change.
+    empty = tuple(sorted(machine.id for machine in list_empty_vms(pool)))
+    light = [machine for machine in pool.vms.values() if _is_light(machine)]
+    # Figures are rounded, so that the row isn't rewritten for each small change.
     return record.PoolStatus(
         _count_waiting(pool),
         _round_down(unmet),
         _round_down(idle),
         empty,
-        tuple(one.id for one in sorted(light, key=_rank_by_runs)),
-        tuple(sorted(one.id for one in light if not one.runs)),
-        _round_down(needed.peak),
-        _round_down(needed.minimum),
+        tuple(machine.id for machine in sorted(light, key=_rank_by_runs)),
+        tuple(sorted(machine.id for machine in light if not machine.runs)),
+        _round_down(demanded.peak),
+        _round_down(demanded.minimum),
         _round_down(compute_batch_capacity(pool)),
-        _round_down(needed.arriving),
+        _round_down(demanded.arriving),
         pool.closings_version if empty else 0,
     )
 
 
 def compute_batch_capacity(pool: view.PoolView) -> int:
-    """Return what the open VMs have for batch work, thousandths of a core."""
+    """Return the millicores that the open VMs have for batch work."""
     room = 0
-    for one in pool.vms.values():
-        if one.listed and not one.closed and not one.entry.leaving:
-            lasting = (run for run in one.runs.values() if run.step.lasting)
-            room += one.entry.room.cpu - sum(run.room.cpu for run in lasting)
+    for machine in pool.vms.values():
+        if machine.listed and not machine.closed and not machine.entry.leaving:
+            lasting = (run for run in machine.runs.values() if run.step.lasting)
+            room += machine.entry.room.cpu - sum(run.room.cpu for run in lasting)
     return room
 
 
-def _rank_by_runs(one: vm.Vm) -> tuple[int, str]:
-    return (len(one.runs), one.id)
+def _rank_by_runs(machine: vm.Vm) -> tuple[int, str]:
+    return (len(machine.runs), machine.id)
 
 
-def _round_down(figure: int) -> int:
-    return figure - figure % STATUS_STEP_MILLICORES
+def _round_down(millicores: int) -> int:
+    return millicores - millicores % STATUS_STEP_MILLICORES
 
 
 def list_empty_vms(pool: view.PoolView) -> list[vm.Vm]:
-    """Return the VMs that are to be vacated and hold nothing any more."""
+    """Return the closed VMs that are known to run nothing any more."""
     return [
-        one
-        for one in pool.vms.values()
-        if one.closed and one.reconciled and not (one.runs or one.orphans)
+        machine
+        for machine in pool.vms.values()
+        if machine.closed
+        and machine.reconciled
+        and not (machine.runs or machine.orphans)
     ]
 
 
 def _count_waiting(pool: view.PoolView) -> dict[str, int]:
-    """Return by queue the jobs of which no task has started."""
+    """Return the number of jobs without a started task, by queue."""
     waiting: dict[str, int] = {}
     for state in pool.jobs.values():
         if state.state is model.JobState.QUEUED and not state.job.times:
@@ -73,8 +75,13 @@
     return waiting
 
 
-def _is_light(one: vm.Vm) -> bool:
-    """Whether an open VM holds no lasting tasks."""
-    if not one.listed or not one.answered or one.closed or one.entry.leaving:
+def _is_light(machine: vm.Vm) -> bool:
+    """Return whether a VM is open and runs no lasting tasks."""
+    if (
+        not machine.listed
+        or not machine.answered
+        or machine.closed
+        or machine.entry.leaving
+    ):
         return False
-    return not any(run.step.lasting for run in one.runs.values())
+    return not any(run.step.lasting for run in machine.runs.values())
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -192,7 +192,7 @@
         for id in batch.vms:
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
-        self.pool.on_finals_durable(batch.finals)
+        self.pool.on_finals_durable(batch.final_jobs)
         self._note(batch.processed_ends)
 
     def _note(self, seen: dict[str, int]) -> None:
--- a/wigeonhitch/pool/tests/test_ledger.py
+++ b/wigeonhitch/pool/tests/test_ledger.py
@@ -101,7 +101,7 @@
     (write,) = batch.transaction.writes
     assert (write.table, write.part) == ("progress", "p")
     assert record.read_final(write.value) is model.JobState.COMPLETED
-    assert batch.finals == ("j",)
+    assert batch.final_jobs == ("j",)
 
 
 def test_a_progress_row_goes_once_it_is_spent(book, make_state):
--- a/wigeonhitch/pool/tests/test_planner.py
+++ b/wigeonhitch/pool/tests/test_planner.py
@@ -370,6 +370,6 @@
 def test_a_vm_that_is_gone_holds_no_task_up(bench):
     second = list_twice(bench)
 
-    bench.pool.drop_vm(second, "another life of the VM answers")
+    bench.pool.drop_vm(second, "another incarnation of the VM answered")
 
     assert len(bench.start(NOW + 0.1)) == 1
--- a/wigeonhitch/pool/ticket.py
+++ b/wigeonhitch/pool/ticket.py
@@ -1,8 +1,8 @@
-"""Tickets that a queue's policy asks for: which are held, which to ask for.
+"""Tickets of the advice service: the valid ones, and those to request.
 
-The advice service takes one call at a time of each daemon and some time for
-each worker that is named, so a step is asked for once, for the VMs with most
-room, and again only when its tickets run out or have named none.
+The service handles one call at a time from each daemon and takes some time for each
+worker in a call. A step's tickets are therefore requested once, for the VMs with
+most free room, and again only when they expire or no VM got one.
 """
 
 from collections.abc import Iterable
@@ -14,19 +14,20 @@
 __all__ = ["Tickets", "select_vms"]
 
 EXPIRY_MARGIN_SECONDS = 0.3
-"""Seconds before its end at which a ticket isn't used any more: a start is on
-its way for some milliseconds, and up to 0.25 s on a slow link."""
+"""Seconds before its expiry at which a ticket isn't used any more: a start is in
+flight for some milliseconds, and up to 0.25 s on a slow link."""
 
 MAX_VMS_PER_REQUEST = 30
-"""VMs named in one call; the objective allows for a call on so many a step."""
+"""Largest number of VMs in a request; job objectives allow for one such call per
+step."""
 
 ASK_AGAIN_SECONDS = 0.5
-"""Seconds before a step that got no ticket is asked for again."""
+"""Seconds after a request before the step's tickets are requested again."""
 
 
 class _StepTickets(NamedTuple):
     tickets: dict[str, str]
-    until: float
+    expiry: float
 
 
 class Tickets:
@@ -38,20 +39,20 @@
         self._not_before: dict[advice.StepName, float] = {}
 
     def get(self, step: advice.StepName, now: float) -> dict[str, str]:
-        """Return the valid tickets of a step by VM; it is asked for if none."""
-        held = self._valid.get(step)
+        """Return a step's valid tickets by VM; without any, schedule a request."""
+        valid = self._valid.get(step)
         if (
-            held is not None
-            and now < held.until - EXPIRY_MARGIN_SECONDS
-            and held.tickets
+            valid is not None
+            and now < valid.expiry - EXPIRY_MARGIN_SECONDS
+            and valid.tickets
         ):
-            return held.tickets
+            return valid.tickets
         if now >= self._not_before.get(step, 0.0):
             self._requested[step] = None
         return {}
 
     def pop_requested(self) -> advice.StepName | None:
-        """Return the step to ask for next."""
+        """Return and remove the next step whose tickets are to be requested."""
         step = next(iter(self._requested), None)
         if step is not None:
             del self._requested[step]
@@ -60,24 +61,24 @@
     def on_opinion(
         self, step: advice.StepName, opinion: advice.Opinion, now: float
     ) -> None:
-        """Take an answer; ``now`` is when it was asked for."""
+        """Apply an answer; ``now`` is the time of the request."""
         self._not_before[step] = now + ASK_AGAIN_SECONDS
         if opinion.tickets is not None:
             self._valid[step] = _StepTickets(opinion.tickets, now + opinion.validity)
 
     def drop(self, step: advice.StepName) -> None:
-        """Forget tickets that a worker refused."""
+        """Drop a step's tickets after a worker refused one."""
         self._valid.pop(step, None)
 
     def forget_job(self, job: str) -> None:
-        """Forget all of a job's steps."""
+        """Drop the tickets and requests of a job."""
         for table in (self._valid, self._requested, self._not_before):
-            for step in [one for one in table if one.job == job]:
+            for step in [step for step in table if step.job == job]:
                 del table[step]
 
 
 def select_vms(vms: Iterable[vm.Vm], now: float) -> list[str]:
-    """Return the VMs to name in a call: open ones, most free room first."""
-    opened = [one for one in vms if one.is_open(now)]
-    opened.sort(key=lambda one: -one.compute_free_room().cpu)
-    return [one.id for one in opened[:MAX_VMS_PER_REQUEST]]
+    """Return the VMs to request tickets for: open ones, most free room first."""
+    open_vms = [machine for machine in vms if machine.is_open(now)]
+    open_vms.sort(key=lambda machine: -machine.compute_free_room().cpu)
+    return [machine.id for machine in open_vms[:MAX_VMS_PER_REQUEST]]
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -1,4 +1,4 @@
-"""What the leader of a pool believes of jobs and VMs, from rows and from time."""
+"""The leader's view of its pool's jobs and VMs, from stored rows and elapsed time."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -10,20 +10,22 @@
 __all__ = ["PoolView", "TimeBounds", "describe_run"]
 
 RUN_NUMBERS_PER_LEADER = 1 << 20
-"""Starts of one task that a leader may number before the next one's range."""
+"""Size of a leader's range of run numbers for each task; the ranges of successive
+leaders don't overlap."""
 
 LAPSE_MARGIN = 0.25
-"""Seconds beyond a lease's end, its drift and the time to stop: answers' times
-are in whole milliseconds and a worker's own timer may fire late."""
+"""Seconds added to a lease's end, clock drift and stop time: times in answers are
+rounded to milliseconds, and a worker's timer may fire late."""
 
 
 class TimeBounds(NamedTuple):
-    """What bounds earlier leaders and workers; times in seconds.
+    """Time bounds of earlier leaders and of workers, in seconds.
 
-    ``longest_lease`` is the longest that any leader grants, and ``stop_grace``
-    what a worker takes to end a task. ``leaders_overlap``: an earlier leader may
-    still order after this one's claim, until each worker has seen the new token.
-    ``move_seconds`` is what a VM takes to come from another pool.
+    ``longest_lease`` is the longest lease that any leader grants, ``stop_grace`` the
+    time that a worker takes to end a task. With ``leaders_overlap`` an earlier
+    leader may still give orders after this one's claim, until each worker has seen
+    the new fencing token. ``move_seconds`` is the time that a VM takes to join from
+    another pool.
     """
 
     longest_lease: float
@@ -33,22 +35,23 @@
 
 
 class PoolView:
-    """Belief of one leader about its pool; `core.Pool` adds workers' answers.
+    """One leader's view of its pool; `core.Pool` adds the answers of workers.
 
     Parameters
     ----------
     name : str
         The pool.
     fence : int
-        Version of the owner row: fencing token, and bound of older rows.
+        Version of the owner row: the fencing token; rows with a lower version were
+        written before the takeover.
     epoch : int
-        Number of this leader among those of the pool, from 1.
-    times : Times
-        Longest lease and longest stop of the workers.
+        Number of this leader among the pool's leaders, from 1.
+    times : TimeBounds
+        Bounds of leases and of the time to stop a task.
     now : float
         This daemon's time at the takeover.
     log_event : callable
-        Takes a line for the log: what happened, and fields.
+        Writes a log line; takes the text and the fields.
     """
 
     def __init__(
@@ -71,25 +74,26 @@
         self.ledger = ledger.Ledger(name, fence)
         self.compactor = compaction.Compactor(name)
         self.job_locations: dict[str, compaction.RowLocation] = {}
-        """Where the rows of open jobs lie."""
+        """Locations of the rows of open jobs."""
         self.deposed = False
         self.unresolved: set[str] = set()
-        """VMs that an earlier leader may have used and that haven't answered."""
+        """VMs that an earlier leader may have used and that aren't reconciled yet."""
         self.changed_jobs: set[str] = set()
-        """Jobs whose open tasks must be computed anew."""
+        """Jobs whose open tasks must be recomputed."""
         self.submitted_work: list[float] = []
-        """Core-seconds of jobs accepted under this leader, not yet counted."""
+        """Core-seconds of each job accepted under this leader and not yet counted as an
+        arrival."""
         self.must_scan = True
-        """Whether runs may have to be stopped for what has just changed."""
+        """Whether the last changes may require runs to be stopped."""
         self.not_before: dict[model.Task, float] = {}
         self.failed_on: dict[model.Task, str] = {}
         self.tickets = ticket.Tickets()
         self.relocated: set[model.Task] = set()
-        """Tasks that were begun again elsewhere for their VM's sake."""
+        """Tasks that were restarted on another VM because their VM was degraded."""
         self.wall_time = 0.0
-        """Seconds since 1970 at the last round, for what is told of jobs."""
+        """Unix time of the last round, for the ages of jobs in the log."""
         self.closings_version = 0
-        """The store's version at which the closed VMs are known."""
+        """The store's version up to which the closed VMs are known."""
         self._closed_workers: frozenset[str] = frozenset()
         self._ended_workers: frozenset[str] = frozenset()
         self._takeover_time = now
@@ -104,37 +108,38 @@
         id: str,
         row: record.JobRecord,
         version: int,
-        place: compaction.RowLocation,
+        location: compaction.RowLocation,
     ) -> None:
-        """Take a job row: a new job, a cancellation, or a final state."""
+        """Apply a job row: a new job, a cancellation, or a final state."""
         if row.job is None:
-            self.compactor.on_final_row(id, place, version, row.finished)
+            self.compactor.on_final_row(id, location, version, row.finished)
             return
-        known = self.jobs.get(id)
-        if known is None and self.compactor.is_final(id, version):
-            return  # done with; an answer may hold an older copy of its row
-        if known is None:
-            known = progress.Progress(row.job, version, row.accepted)
-            self.job_locations[id] = place
-            self.jobs[id] = known
+        job_state = self.jobs.get(id)
+        if job_state is None and self.compactor.is_final(id, version):
+            return  # the row is an older copy, from a read that began earlier
+        if job_state is None:
+            job_state = progress.Progress(row.job, version, row.accepted)
+            self.job_locations[id] = location
+            self.jobs[id] = job_state
             self._update_mean_work(row.job)
             if version > self.fence and not (row.job.is_lasting or row.job.times):
                 self.submitted_work.append(row.job.compute_work())
-        if version < known.version:
+        if version < job_state.version:
             return
-        known.version = version
-        if row.cancelled and not known.cancelled:
-            known.cancelled = True
+        job_state.version = version
+        if row.cancelled and not job_state.cancelled:
+            job_state.cancelled = True
             self.must_scan = True
             self.log_event("job cancelled", job=id, version=version)
-            if known.final is None:
+            if job_state.final is None:
                 self.ledger.mark_dirty(id)
         self.changed_jobs.add(id)
 
     def on_progress(self, id: str, value: bytes, version: int) -> None:
-        """Take a progress row, read at the takeover after all jobs.
+        """Apply a progress row; at the takeover they are read after all jobs.
 
-        That of a job that isn't open has been left behind, and is removed.
+        The row of a job that isn't open is a leftover of an earlier leader and is
+        removed.
         """
         state = self.jobs.get(id)
         self.ledger.versions[id] = version
@@ -147,40 +152,40 @@
             self.on_finals_durable([id])
 
     def on_queues(self, queues: Iterable[model.Queue]) -> None:
-        """Take the queues of the configuration in force."""
-        self.queues = {one.name: one for one in queues}
+        """Apply the queues of the configuration in force."""
+        self.queues = {queue.name: queue for queue in queues}
         self.changed_jobs.update(self.jobs)
 
     def on_worker(self, entry: entries.WorkerEntry, now: float) -> None:
-        """Take a worker's entry; one that is in another pool is left out."""
-        known = self.vms.get(entry.id)
+        """Apply a worker's entry; workers of other pools are ignored."""
+        machine = self.vms.get(entry.id)
         if entry.id in self._ended_workers:
-            return  # what is left of it in the store lapses by itself
+            return  # its entry in the store expires by itself
         if entry.pool != self.name:
-            if known is not None:
-                known.listed = False
+            if machine is not None:
+                machine.listed = False
             return
-        if known is None:
+        if machine is None:
             self.vms[entry.id] = vm.Vm(entry, now)
             self.vms[entry.id].closed = entry.id in self._closed_workers
             self.ledger.add_vm(entry.id, entry.address)
             self.log_event("VM joined", vm=entry.id, rack=self.vms[entry.id].rack)
             return
-        if entry.leaving and not known.entry.leaving:
+        if entry.leaving and not machine.entry.leaving:
             self.must_scan = True
-            self.log_event("VM leaves", vm=entry.id, remaining=entry.remaining)
-        known.entry = entry
-        known.listed = True
+            self.log_event("VM leaving", vm=entry.id, remaining=entry.remaining)
+        machine.entry = entry
+        machine.listed = True
         if entry.clock is not None:
-            known.update_clock(entry.clock, now)
+            machine.update_clock(entry.clock, now)
 
     def set_closed(
         self, ids: frozenset[str], ended: frozenset[str], version: int = 0
     ) -> None:
-        """Take the workers that are to be vacated, and those that have ended.
+        """Set the workers that are to be vacated and those that have ended.
 
-        All others are open. What is older, by the store's version, than what was
-        taken before is left: it would open VMs that are shown as empty.
+        All others are open. A set with an older store version than the last one is
+        ignored: it would reopen VMs that are already published as empty.
         """
         if version < self.closings_version:
             return
@@ -188,78 +193,85 @@
         self._closed_workers, self._ended_workers = ids, ended
         self.must_scan = True
         for id in ended & self.vms.keys():
-            self.drop_vm(self.vms[id], "ended, as the leader of moves tells")
-        for one in self.vms.values():
-            if one.closed != (one.id in ids):
-                one.closed = not one.closed
+            self.drop_vm(self.vms[id], "ended by a move or maintenance")
+        for machine in self.vms.values():
+            if machine.closed != (machine.id in ids):
+                machine.closed = not machine.closed
                 self.log_event(
-                    "VM to be vacated" if one.closed else "VM open", vm=one.id
+                    "VM closed" if machine.closed else "VM open", vm=machine.id
                 )
 
     def on_worker_removed(self, id: str) -> None:
-        """Take note that a worker's entry has gone; its runs may go on."""
-        known = self.vms.get(id)
-        if known is not None and known.listed:
-            known.listed = False
-            self.log_event("VM not listed any more", vm=id, runs=len(known.runs))
+        """Record that a worker's entry was removed; its runs may go on."""
+        machine = self.vms.get(id)
+        if machine is not None and machine.listed:
+            machine.listed = False
+            self.log_event("VM entry removed", vm=id, runs=len(machine.runs))
 
     def on_roster(self, id: str, address: str, version: int, now: float) -> None:
-        """Take a roster row at the takeover: the VM may run tasks."""
+        """Apply a roster row at the takeover: the VM may run tasks."""
         self.unresolved.add(id)
         self.ledger.on_roster_row(id, version)
         if id in self.vms:
             self.vms[id].recorded = True
             return
         entry = entries.WorkerEntry(id, self.name, address, "", False, model.Room(), ())
-        unlisted = vm.Vm(entry, now)
-        unlisted.listed = False
-        unlisted.recorded = True
-        self.vms[id] = unlisted
+        machine = vm.Vm(entry, now)
+        machine.listed = False
+        machine.recorded = True
+        self.vms[id] = machine
 
     # -- time
 
     def expire_leases(self, now: float) -> None:
-        """Take for ended what has certainly lapsed."""
-        waited = now - self._takeover_time
+        """Drop the runs and VMs whose leases have certainly expired."""
+        seconds_waited = now - self._takeover_time
         longest = self.times.longest_lease * (1 + vm.MAX_CLOCK_DRIFT)
         grace = self.times.stop_grace + LAPSE_MARGIN
-        for one in list(self.vms.values()):
-            # Also one that never answered may have heard a renewal of ours.
-            lapsed = one.is_lapsed(now, grace)
-            if not one.answered:
-                lapsed = lapsed and waited > longest + grace
-            if lapsed and (one.runs or one.orphans):
-                self._remove_lapsed_runs(one)
-            if lapsed and one.id in self.unresolved:
-                self.unresolved.discard(one.id)
-                self.log_event("VM waited out", vm=one.id, waited=round(waited, 2))
-            if lapsed and not one.listed:
-                self.drop_vm(one, "unlisted and lapsed")
+        for machine in list(self.vms.values()):
+            # A VM that never answered may still have received a renewal of ours.
+            lapsed = machine.is_lapsed(now, grace)
+            if not machine.answered:
+                lapsed = lapsed and seconds_waited > longest + grace
+            if lapsed and (machine.runs or machine.orphans):
+                self._remove_lapsed_runs(machine)
+            if lapsed and machine.id in self.unresolved:
+                self.unresolved.discard(machine.id)
+                self.log_event(
+                    "VM waited out",
+                    vm=machine.id,
+                    waited=round(seconds_waited, 2),
+                )
+            if lapsed and not machine.listed:
+                self.drop_vm(machine, "entry removed and leases lapsed")
 
     # -- questions
 
     def compute_remaining_earlier_lease(self, now: float) -> float:
-        """Return what may last of the longest lease that an earlier leader granted.
+        """Return the most that may remain of an earlier leader's longest lease.
 
-        Counted on a worker's clock, of which less time may have passed.
+        It is counted by the slowest worker clock.
         """
         passed = (now - self._takeover_time) * (1 - vm.MAX_CLOCK_DRIFT)
         return max(0.0, self.times.longest_lease - passed)
 
     def may_have_run(self, state: progress.Progress) -> bool:
-        """Whether an earlier leader may have started tasks of the job."""
+        """Return whether an earlier leader may have started tasks of the job."""
         is_older = state.version < self.fence or self.times.leaders_overlap
         return bool(self.unresolved) and is_older
 
     def list_orphaned_tasks(self) -> frozenset[model.Task]:
-        """Return the tasks of which a VM lists a run that nobody wants.
+        """Return the tasks of which a VM lists an orphaned run.
 
-        It goes on until its end is listed, or until its VM lapses or is gone.
+        Such a run goes on until its end is listed, its VM's leases lapse or its VM is
+        gone.
         """
-        return frozenset(task for one in self.vms.values() for task, _ in one.orphans)
+        return frozenset(
+            task for machine in self.vms.values() for task, _ in machine.orphans
+        )
 
     def next_run_number(self, task: model.Task) -> int:
-        """Return the number of the task's next run, above all before."""
+        """Return the number of the task's next run, higher than all earlier ones."""
         number = max(self.run_numbers.get(task, 0), self.run_number_base) + 1
         self.run_numbers[task] = number
         return number
@@ -271,7 +283,7 @@
         return number
 
     def on_finals_durable(self, ids: Iterable[str]) -> None:
-        """Take note that final states are durable."""
+        """Record that the final states of jobs are durable."""
         for id in ids:
             state = self.jobs.get(id)
             if state is not None and state.final is not None:
@@ -280,23 +292,27 @@
                 self._schedule_compaction(id, state, state.final)
 
     def _schedule_compaction(
-        self, id: str, state: progress.Progress, noted: model.JobState
+        self, id: str, state: progress.Progress, recorded: model.JobState
     ) -> None:
-        """Have a final job's rows tidied."""
-        noted_at = self.ledger.versions.get(id, 0)
+        """Hand the rows of a final job to the compactor."""
+        recorded_at = self.ledger.versions.get(id, 0)
         cancelled_at = state.version if state.cancelled else 0
-        final = progress.resolve_final_state(noted, noted_at, cancelled_at)
-        self.compactor.add(id, self.job_locations[id], final, state.version, noted_at)
+        final = progress.resolve_final_state(recorded, recorded_at, cancelled_at)
+        self.compactor.add(
+            id, self.job_locations[id], final, state.version, recorded_at
+        )
 
-    def record_degraded_run(self, run: vm.Run, what: str, now: float) -> None:
-        """Take note that a run stands still or is slow; its VM may be sick."""
+    def record_degraded_run(self, run: vm.Run, reason: str, now: float) -> None:
+        """Record that a run is stuck or slow; its VM may be quarantined for it."""
         if run.is_sick:
             return
         run.is_sick = True
-        self.log_event("run is sick", reason=what, work=run.work, **describe_run(run))
+        self.log_event(
+            "run degraded", reason=reason, work=run.work, **describe_run(run)
+        )
         if run.vm.record_degraded_run(now):
             until = round(run.vm.quarantined_until, 2)
-            self.log_event("VM set aside", vm=run.vm.id, until=until, reason=what)
+            self.log_event("VM quarantined", vm=run.vm.id, until=until, reason=reason)
 
     def get_mean_work(self, queue: str) -> float:
         """Return the mean core-seconds of the queue's jobs seen so far."""
@@ -304,7 +320,7 @@
         return total / count if count else 0.0
 
     def count_unavailable(self, job: str, step: int) -> int:
-        """Return how many tasks of a lasting step are not at work."""
+        """Return how many tasks of a lasting step are unavailable."""
         state = self.jobs[job]
         at_work = 0
         for index in range(state.job.steps[step].count):
@@ -314,46 +330,49 @@
         return state.job.steps[step].count - at_work
 
     def is_wanted(self, run: vm.Run) -> bool:
-        """Whether the run's job still wants it."""
+        """Return whether the run's task still has to be run."""
         state = self.jobs.get(run.task.job)
         if state is None or state.cancelled or state.final is not None:
             return False
         return not state.is_done(run.task)
 
     def get_sort_inputs(self, state: progress.Progress) -> priority.SortInputs:
-        """Return what a job's sort key is made of, also where its queue is gone."""
+        """Return the inputs of a job's sort key.
+
+        If its queue was removed, the terms of its submission are used.
+        """
         queue = self.queues.get(state.job.queue)
         return priority.compute_sort_inputs(state, queue or state.job.terms)
 
     def needs_ticket(self, state: progress.Progress) -> bool:
-        """Whether the queue's policy allows only some VMs for each step."""
+        """Return whether the job's tasks need a ticket of the advice service."""
         queue = self.queues.get(state.job.queue)
         return state.job.is_advised if queue is None else queue.advice is not None
 
     def get_max_attempts(self, state: progress.Progress) -> int:
-        """Return how many failed runs a task of the job may have."""
+        """Return the number of failed runs after which a task isn't retried."""
         queue = self.queues.get(state.job.queue)
         return queue.max_attempts if queue else state.job.attempts
 
-    def drop_vm(self, one: vm.Vm, reason: str) -> None:
-        """Take a life of a VM for ended: all that ran there has ended."""
-        if one.gone:
+    def drop_vm(self, machine: vm.Vm, reason: str) -> None:
+        """Remove a VM that has ended, and with it all its runs."""
+        if machine.gone:
             return
-        one.gone = True
-        self.unresolved.discard(one.id)
-        self.log_event("VM gone", vm=one.id, runs=len(one.runs), reason=reason)
-        for run in list(one.runs.values()):
+        machine.gone = True
+        self.unresolved.discard(machine.id)
+        self.log_event("VM gone", vm=machine.id, runs=len(machine.runs), reason=reason)
+        for run in list(machine.runs.values()):
             self.remove_run(run)
-        self.ledger.remove_vm(one.id)
-        self.vms.pop(one.id, None)
+        self.ledger.remove_vm(machine.id)
+        self.vms.pop(machine.id, None)
 
-    # -- inside
+    # -- internals
 
-    def _remove_lapsed_runs(self, one: vm.Vm) -> None:
-        self.log_event("leases lapsed", vm=one.id, runs=len(one.runs))
-        for run in list(one.runs.values()):
+    def _remove_lapsed_runs(self, machine: vm.Vm) -> None:
+        self.log_event("leases lapsed", vm=machine.id, runs=len(machine.runs))
+        for run in list(machine.runs.values()):
             self.remove_run(run)
-        one.orphans.clear()
+        machine.orphans.clear()
 
     def remove_run(self, run: vm.Run) -> None:
         """Take a run for ended; its task may start again."""
@@ -376,12 +395,12 @@
         self.tickets.forget_job(id)
         self.relocated = {task for task in self.relocated if task.job != id}
         for table in (self.run_numbers, self.not_before, self.failed_on):
-            for task in [one for one in table if one.job == id]:
+            for task in [task for task in table if task.job == id]:
                 del table[task]
 
 
 def describe_run(run: vm.Run) -> dict[str, object]:
-    """Return the fields of a log line on a run."""
+    """Return the log fields that identify a run."""
     return {
         "job": run.task.job,
         "task": run.task[1:],
--- a/wigeonhitch/pool/vm.py
+++ b/wigeonhitch/pool/vm.py
@@ -1,8 +1,8 @@
-"""What a leader believes of one VM and of the runs on it.
+"""The leader's view of one VM and of the runs on it.
 
-A worker's clock is known within bounds from its answers. All that runs on a
-worker ends when its clock passes the highest deadline it was given, so a VM
-that doesn't answer is known to be empty once that has certainly happened.
+A worker's clock is known within bounds from its answers. All runs on a worker end
+when its clock passes the highest deadline that it was given, so that a VM that
+doesn't answer is known to be empty once that has certainly happened.
 """
 
 import enum
@@ -13,45 +13,45 @@
 __all__ = ["MAX_CLOCK_DRIFT", "Run", "RunState", "Vm"]
 
 MAX_CLOCK_DRIFT = 0.02
-"""A worker's clock may be this much slower than true time (users' rules)."""
+"""Fraction by which a worker's clock may be slower than true time (users' rules)."""
 
 STALE_AFTER_SECONDS = 2.0
-"""Seconds without an answer after which no task is started on a VM: a hold
-of an idle VM waits 1.2 s, and its answer may be late."""
+"""Seconds without an answer after which no task is started on a VM: a hold of an idle
+VM waits 1.2 s, and its answer may be delayed."""
 
 QUARANTINE_SECONDS = 4.0
-"""Seconds that a VM is first set aside; bad spells seen last 4 to 7 s."""
+"""Seconds of a VM's first quarantine: VMs stay degraded for 4 to 7 s."""
 
 MAX_QUARANTINE_SECONDS = 30.0
-"""Longest time set aside, reached by doubling."""
+"""Longest quarantine in seconds, reached by doubling."""
 
 MAX_CONSECUTIVE_FAILURES = 2
-"""Failed ends in a row that a VM may show; a task fails by its own fault in
-0.2 to 3 of 100 runs, so three in a row are the VM's doing."""
+"""Consecutive failed runs that a VM may have: 0.2 to 3 of 100 runs fail because of
+their task, so three failures in a row are due to the VM."""
 
 
 RATE_WINDOW_SECONDS = 0.7
-"""Seconds over which a run's rate is taken, in percent a second: a hold and a
-bit, so that a spell of a slow VM shows in the next figure."""
+"""Seconds over which a run's rate is measured, in percent per second: slightly longer
+than a hold, so that a slow VM shows in the next measurement."""
 
 MAX_DEGRADED_RUNS = 1
-"""Runs that may stand still or be slow within `DEGRADED_WINDOW_SECONDS`: where a
-VM is sick all its runs are, where a job is odd one is."""
+"""Runs that may be stuck or slow within `DEGRADED_WINDOW_SECONDS`: a degraded VM
+affects all its runs, an unusual job only one."""
 
 DEGRADED_WINDOW_SECONDS = 3.0
 
 MAX_SLOW_JOBS = 1
-"""Jobs whose runs may be slow on a VM within `DEGRADED_WINDOW_SECONDS`, where no
-other VM runs the same step: estimates of two jobs are seldom as far off."""
+"""Jobs whose runs may be slow on a VM within `DEGRADED_WINDOW_SECONDS` if no other VM
+runs the same step: the estimates of two jobs are rarely both that far off."""
 
 
 class RunState(enum.Enum):
-    """How far a run is known to be."""
+    """Known state of a run."""
 
     STARTING = "starting"
-    """Ordered; an answer is awaited."""
+    """Ordered; the answer is pending."""
     UNKNOWN = "unknown"
-    """The answer was lost: it may run, or may start until its deadline."""
+    """The answer was lost: it may be running, or may start until its deadline."""
     RUNNING = "running"
     STOPPING = "stopping"
 
@@ -59,9 +59,10 @@
 class Run:
     """One start of a task on a VM.
 
-    ``deadline`` is the worker's time after which it refuses the start;
-    ``since`` is this daemon's time of the start's answer, ``moved`` the worker's
-    time of the last progress seen.
+    ``deadline`` is the worker's time after which it refuses the start, ``since`` this
+    daemon's time of the answer to the start, and ``moved`` the worker's time of the
+    last progress. ``work`` is the progress in percent; ``mark_at`` and ``mark_work``
+    begin the current measurement of ``rate``.
     """
 
     __slots__ = (
@@ -108,10 +109,11 @@
         self.adopted = False
         self.is_sick = False
         self.sure_from = 0.0
-        """From when on its being listed says that nobody is stopping it."""
+        """This daemon's time from which a listing shows that the run isn't being
+        stopped by an earlier leader."""
 
     def record_work(self, work: float, clock: float) -> None:
-        """Take the progress listed at a worker's time, and the rate since the mark."""
+        """Record the progress at a worker's time and update the rate."""
         if work != self.work:
             self.moved = clock
         self.work = work
@@ -122,19 +124,19 @@
 
     @property
     def is_at_work(self) -> bool:
-        """Whether a lasting task is known to work in full."""
+        """Whether a lasting task is known to be fully available."""
         known = self.state is RunState.RUNNING and not self.vm.is_silent
-        sure = self.vm.last_answer >= self.sure_from
-        return known and sure and self.work >= 100
+        is_confirmed = self.vm.last_answer >= self.sure_from
+        return known and is_confirmed and self.work >= 100
 
 
 class Vm:
-    """Belief about one life of a VM.
+    """State of one incarnation of a VM, as known to the leader.
 
     Parameters
     ----------
     entry : entries.WorkerEntry
-        What the worker registered.
+        The worker's registration.
     now : float
         This daemon's time at which the entry was read.
     """
@@ -143,46 +145,46 @@
         self.entry = entry
         self.listed = True
         self.closed = False
-        """Whether it is to be vacated, for upkeep or a move."""
+        """Whether it is to be vacated, for maintenance or a move."""
         self.answered = False
-        """Whether it answered under this leader's token."""
+        """Whether it has answered under this leader's fencing token."""
         self.reconciled = False
-        """Whether an answer told all that runs there and all that has ended."""
+        """Whether an answer has listed all its runs and all that have ended."""
         self.recorded = False
-        """Whether the roster row that names it is committed."""
+        """Whether its roster row is committed."""
         self.gone = False
         self.last_answer = 0.0
         self.reported_clock = 0.0
-        """The worker's time at which it last listed its runs."""
+        """The worker's time of its last list of runs."""
         self.is_silent = False
         """Whether the last call to it got no answer."""
         self.lease_deadline = 0.0
         self.processed_end = 0
-        """Highest number of an end taken into account."""
+        """Highest number of an end that was processed."""
         self.committed_end = 0
         """Highest number of an end that is durable."""
         self.runs: dict[model.Task, Run] = {}
         self.orphans: dict[tuple[model.Task, int], float] = {}
-        """Listed runs that nobody wants, and when their stop was ordered. What
-        they take isn't known, so nothing is started beside them."""
+        """Listed runs that aren't wanted, and when their stop was ordered. Their
+        resources aren't known, so nothing is started beside them."""
         self.failures = 0
         self.quarantined_until = 0.0
         self._quarantine_seconds = QUARANTINE_SECONDS
         self.degraded_runs = 0
         self._degraded_at = 0.0
         self._slow_jobs: dict[str, float] = {}
-        """When runs of a job were last slow here."""
+        """Time at which runs of each job were last slow here."""
         self._clock = entry.clock or 0.0
         self._clock_received = now
 
     @property
     def id(self) -> str:
-        """Name of this life of the VM."""
+        """Name of this incarnation of the VM."""
         return self.entry.id
 
     @property
     def rack(self) -> str:
-        """Rack, by its label; workers name their kind and then their rack."""
+        """Rack; workers list the label of their kind and then that of their rack."""
         return self.entry.labels[-1] if self.entry.labels else ""
 
     @property
@@ -191,14 +193,14 @@
         return self._clock > 0
 
     def update_clock(self, clock: float, received: float) -> None:
-        """Take a time that the worker's clock had reached when it was received.
+        """Record a time that the worker's clock had reached when it was received.
 
-        One that says less than what is known is left: an entry may have been
-        written seconds before it is read, and starts would count from it and be
-        refused as late, all of a pool's for 0.3 s after a takeover.
+        An earlier time than the one already known is ignored. An entry may have been
+        written seconds before it is read; start deadlines counted from it would be
+        refused as late, for all starts of a pool in the 0.3 s after a takeover.
         """
-        known = self.compute_clock(received) if self.knows_clock else 0.0
-        if clock and clock >= known and received >= self._clock_received:
+        clock_now = self.compute_clock(received) if self.knows_clock else 0.0
+        if clock and clock >= clock_now and received >= self._clock_received:
             self._clock, self._clock_received = clock, received
 
     def compute_clock(self, now: float) -> float:
@@ -209,21 +211,21 @@
     def compute_deadline(self, now: float, lease: float) -> float:
         """Return the worker's time at which a lease from now ends.
 
-        Counted from what its clock has certainly reached: a successor waits for no
-        more than the lease.
+        It counts from the time that the clock has certainly reached, as a successor
+        waits no longer than the lease.
         """
         return self.compute_clock(now) + lease
 
     def record_lease_deadline(self, deadline: float) -> None:
-        """Take note that a deadline is being sent."""
+        """Record a lease deadline that is about to be sent."""
         self.lease_deadline = max(self.lease_deadline, deadline)
 
     def is_lapsed(self, now: float, grace: float) -> bool:
-        """Whether all that ran on it has certainly ended; ``grace`` to stop."""
+        """Return whether all its runs have ended, given ``grace`` seconds to stop."""
         return self.compute_clock(now) > self.lease_deadline + grace
 
     def compute_free_room(self) -> model.Room:
-        """Return the room that is left; what is being stopped still counts."""
+        """Return the free room; runs that are being stopped still count as running."""
         room = self.entry.room
         cpu, memory, gpus = room
         for run in self.runs.values():
@@ -233,7 +235,7 @@
         return model.Room(cpu, memory, gpus)
 
     def is_open(self, now: float) -> bool:
-        """Whether tasks may be started on it."""
+        """Return whether tasks may be started on it."""
         return (
             self.listed
             and self.reconciled
@@ -244,11 +246,11 @@
         )
 
     def is_quarantined(self, now: float) -> bool:
-        """Whether it is kept from work for what was seen of it."""
+        """Return whether it gets no tasks because of failed or degraded runs."""
         return now < self.quarantined_until
 
     def record_end(self, end: model.End, now: float) -> bool:
-        """Count an end; return whether the VM was set aside by it."""
+        """Count an ended run; return whether it caused a quarantine."""
         if end is model.End.DONE:
             self.failures = 0
             self._quarantine_seconds = QUARANTINE_SECONDS
@@ -261,18 +263,18 @@
         return True
 
     def record_slow_job(self, job: str, now: float) -> None:
-        """Take note that a run of a job is slow by its estimate."""
+        """Record that a run of a job is slow by its estimate."""
         self._slow_jobs[job] = now
 
     def is_slow(self, now: float) -> bool:
-        """Whether runs of several jobs are slow here: one may be long by itself."""
+        """Return whether runs of several jobs are slow here; one alone may be long."""
         recent = (
             at for at in self._slow_jobs.values() if now - at < DEGRADED_WINDOW_SECONDS
         )
         return sum(1 for _ in recent) > MAX_SLOW_JOBS
 
     def record_degraded_run(self, now: float) -> bool:
-        """Count a run that stood still or was slow; whether it is set aside now."""
+        """Count a stuck or slow run; return whether it caused a quarantine."""
         if self.is_quarantined(now):
             return False
         self.degraded_runs = (
@@ -287,21 +289,21 @@
         return True
 
     def quarantine(self, now: float) -> None:
-        """Keep the VM from work, longer each time."""
+        """Quarantine the VM, for twice as long each time."""
         self.quarantined_until = now + self._quarantine_seconds
         self._quarantine_seconds = min(
             MAX_QUARANTINE_SECONDS, self._quarantine_seconds * 2
         )
         self.failures = 0
 
-    def adopt(self, one: workers.Running, step: model.Step, now: float) -> Run:
-        """Take over a run that an earlier leader started."""
-        run = Run(one.task, one.run, self, step, now)
+    def adopt(self, listed: workers.Running, step: model.Step, now: float) -> Run:
+        """Adopt a run that an earlier leader started."""
+        run = Run(listed.task, listed.run, self, step, now)
         run.state = RunState.RUNNING
         run.moved = run.mark_at = self.reported_clock
-        run.work = run.mark_work = one.work
+        run.work = run.mark_work = listed.work
         run.adopted = True
         if step.fills and step.lasting:
-            run.pace = int(one.work)
-        self.runs[one.task] = run
+            run.pace = int(listed.work)
+        self.runs[listed.task] = run
         return run
