--- a/wigeonhitch/jobs/tests/test_jobs.py
+++ b/wigeonhitch/jobs/tests/test_jobs.py
@@ -19,7 +19,7 @@
     return make_state(model.Step(2, ROOM, 1.0), model.Step(1, ROOM, 2.0, after=(0,)))
 
 
-def test_a_step_opens_once_all_tasks_before_it_are_done(chain):
+def test_step_opens_once_all_earlier_steps_are_done(chain):
     assert [task.step for task in chain.list_open_tasks(0.0)] == [0, 0]
 
     chain.record_done(model.Task("j", 0, 0, 0))
@@ -29,7 +29,7 @@
     assert [task[1:] for task in chain.list_open_tasks(0.0)] == [(0, 1, 0)]
 
 
-def test_one_done_end_of_a_gang_stands_for_all():
+def test_completion_of_one_member_completes_the_gang():
     state = make_state(model.Step(4, ROOM, gang=True))
 
     state.record_done(model.Task("j", 0, 0, 2))
@@ -37,7 +37,7 @@
     assert state.is_complete()
 
 
-def test_a_failed_run_that_is_listed_again_counts_once(chain):
+def test_failed_run_counts_once(chain):
     task = model.Task("j", 0, 0, 0)
     for _ in range(3):
         chain.record_failed(task, 7)
@@ -46,7 +46,7 @@
     assert not chain.is_exhausted(task, 2)
 
 
-def test_lasting_tasks_have_no_limit_of_attempts():
+def test_lasting_tasks_have_unlimited_attempts():
     state = make_state(model.Step(1, ROOM, lasting=True))
     task = model.Task("j", 0, 0, 0)
     for run in range(9):
@@ -80,27 +80,27 @@
 
 
 @hypothesis.given(st.lists(steps, min_size=1, max_size=4), st.data())
-def test_rows_keep_a_job_and_its_progress(found, data):
-    job = model.Job("j", "q", "spec", tuple(found), 2, 5.0, 1.0, 3)
+def test_rows_round_trip_a_job_and_its_progress(generated_steps, data):
+    job = model.Job("j", "q", "spec", tuple(generated_steps), 2, 5.0, 1.0, 3)
     state = progress.Progress(job, 3, 9.5)
-    for number, step in enumerate(found):
+    for number, step in enumerate(generated_steps):
         index = data.draw(st.integers(0, step.count - 1))
         state.record_done(model.Task("j", 1, number, index))
         state.record_failed(model.Task("j", 0, number, index), 1 << 33)
         state.record_checkpoint(model.Task("j", 0, number, index), "c1")
 
     read = record.read_job("j", record.write_job(job, "p", 9.5, cancelled=True))
-    again = progress.Progress(read.job, 3, read.accepted)
-    record.read_progress(again, record.write_progress(state))
+    restored = progress.Progress(read.job, 3, read.accepted)
+    record.read_progress(restored, record.write_progress(state))
 
     assert read == record.JobRecord(job, 9.5, True, pool="p")
-    assert again.done == state.done
-    assert again.failed_runs == state.failed_runs
-    assert again.checkpoints == state.checkpoints
+    assert restored.done == state.done
+    assert restored.failed_runs == state.failed_runs
+    assert restored.checkpoints == state.checkpoints
 
 
 @pytest.mark.parametrize("is_advised", [False, True])
-def test_a_row_tells_whether_its_tasks_need_tickets(is_advised):
+def test_job_row_keeps_whether_tasks_need_tickets(is_advised):
     job = model.Job("j", "q", "", (model.Step(1),), is_advised=is_advised)
 
     assert record.read_job("j", record.write_job(job, "p", 9.5)).job == job
--- a/wigeonhitch/pool/compaction.py
+++ b/wigeonhitch/pool/compaction.py
@@ -2,7 +2,7 @@
 
 A job's final state becomes durable in its progress row, in the leader's part. The
 job's own row is in another part, so that accepting jobs doesn't wait for the leader's
-writes. It is replaced by the bare state later, when the store is idle, and the
+writes. It is replaced by the bare state later, while the store is quick, and the
 progress row is removed then.
 """
 
--- a/wigeonhitch/pool/source.py
+++ b/wigeonhitch/pool/source.py
@@ -97,9 +97,9 @@
         versions: list[int] = []
 
         async def load(part: str) -> None:
-            read = await self._read_all(self._job_table, part)
-            versions.append(read.version)
-            for row in read.rows:
+            part_rows = await self._read_all(self._job_table, part)
+            versions.append(part_rows.version)
+            for row in part_rows.rows:
                 self._take_job(row)
 
         async with anyio.create_task_group() as group:
@@ -121,17 +121,17 @@
         if row.value is None or row.part not in self._job_parts:
             return
         try:
-            read = record.read_job(row.key, row.value)
+            job_record = record.read_job(row.key, row.value)
         except (ValueError, KeyError, TypeError) as error:
             log.log_problem("job row not readable", job=row.key, reason=str(error))
             self._unreadable.add(row.key)
             return
-        if read.pool != self._pool.name:
+        if job_record.pool != self._pool.name:
             return  # the table also holds jobs of other pools
-        if row.key not in self._pool.jobs and read.job is not None:
+        if row.key not in self._pool.jobs and job_record.job is not None:
             self._log_event("job taken over", job=row.key, version=row.version)
         location = compaction.RowLocation(row.table, row.part)
-        self._pool.on_job(row.key, read, row.version, location)
+        self._pool.on_job(row.key, job_record, row.version, location)
 
     async def follow(self, after: int) -> None:
         """Follow the jobs after a version, until cancelled."""
--- a/wigeonhitch/pool/tests/conftest.py
+++ b/wigeonhitch/pool/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A leader's belief with some VMs, for the tests of its decisions."""
+"""A pool's leader with some VMs, for the tests of its decisions."""
 
 import pytest
 
@@ -8,22 +8,22 @@
 
 NOW = 100.0
 CLOCK = 5000.0
-PLACE = compaction.RowLocation("job00", "p.0")
 """The workers' clocks at `NOW`."""
+LOCATION = compaction.RowLocation("job00", "p.0")
 
 
 class Bench:
-    """A pool and its planner, and shorthands for what happens to them."""
+    """A pool and its planner, with shorthands for the events of a test."""
 
     def __init__(self, *, fence=10, epoch=1):
-        self.told = []
+        self.logged = []
         self.pool = core.Pool(
             "p",
             fence,
             epoch,
             view.TimeBounds(6.5, 0.2),
             NOW,
-            lambda what, **fields: self.told.append(what),
+            lambda event, **fields: self.logged.append(event),
         )
         self.pool.on_queues([model.Queue("q", "h", "/q/", "p", max_attempts=2)])
         self.planner = planner.Planner(self.pool)
@@ -36,31 +36,31 @@
             id, "p", f"{id}:1", "dc", False, room, labels, clock
         )
         self.pool.on_worker(entry, NOW)
-        one = self.pool.vms[id]
-        one.recorded = True
+        machine = self.pool.vms[id]
+        machine.recorded = True
         if answers:
-            self.answer(one)
-        return one
+            self.answer(machine)
+        return machine
 
-    def answer(self, one, running=(), ended=(), *, now=NOW, sent=None):
+    def answer(self, machine, running=(), ended=(), *, now=NOW, sent=None):
         clock = CLOCK + now - NOW
         sent = now if sent is None else sent
         verdict = workers.Verdict.DONE
         reply = workers.HoldReply(verdict, clock, sent, now, running, ended)
-        self.pool.on_hold(one, reply, now)
+        self.pool.on_hold(machine, reply, now)
 
     def add_job(self, id="j", *steps, version=20, accepted=NOW, queue="q", **fields):
         steps = steps or (model.Step(1, model.Room(1000, 100), 1.0),)
         job = model.Job(id, queue, "", steps, **fields)
         row = record.JobRecord(job, accepted, False)
-        self.pool.on_job(id, row, version, PLACE)
+        self.pool.on_job(id, row, version, LOCATION)
         return self.pool.jobs[id]
 
     def plan(self, now=NOW):
         return self.planner.plan(now, now)
 
     def start(self, now=NOW, *, answered=True):
-        """Plan, and let the workers take what is started."""
+        """Plan a round, and let the workers confirm the starts."""
         runs = [order.run for order in self.plan(now) if hasattr(order, "run")]
         for run in runs:
             run.deadline = run.vm.compute_deadline(now, 1.2)
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -1,10 +1,10 @@
-"""Histories of leaders, successors and workers, with calls lost and late.
+"""Simulated histories of leaders, successors and workers with lost and late calls.
 
-Drives the real decisions (`core`, `planner`, `ledger`) of any number of
-leaders that follow each other and overlap, against workers in process, under
-one seeded schedule. Calls take time, are lost on either way, or arrive seconds
-late; workers fall silent, crash and come back; leaders are killed, paused and
-cut off. `check` then reads what the workers did.
+Drives the real decisions (`core`, `planner`, `ledger`) of any number of leaders that
+succeed each other and overlap, against workers in the same process, under one seeded
+schedule. Calls take time, are lost in either direction or arrive seconds late;
+workers fall silent, crash and come back; leaders are killed, paused and cut off.
+`check` then verifies the events that the workers recorded.
 """
 
 import random
@@ -22,25 +22,25 @@
 STEP = 0.02
 ROOM = model.Room(8000, 65536, 0)
 STEP_CPU = (2500, 3000)
-"""Thousandths of a core that a task of each step takes."""
-PLACE = compaction.RowLocation("job", POOL)
+"""Millicores that a task of each step takes."""
+LOCATION = compaction.RowLocation("job", POOL)
 START_DEADLINE = dispatcher.START_DEADLINE
 
 
 class Switches(NamedTuple):
-    """Mechanisms that a test may switch off, to see that the check finds it."""
+    """Mechanisms that a test may switch off, so that `check` must find a fault."""
 
     fence: bool = True
     wait_after_takeover: bool = True
     own_deadline: bool = True
     lapse_before_restart: bool = True
-    commit_before_noting: bool = True
-    rising_numbers: bool = True
+    commit_before_acknowledging: bool = True
+    increasing_numbers: bool = True
     stop_at_lease_end: bool = True
 
 
 class Store:
-    """Rows in memory; a transaction may be lost before or after it is done."""
+    """Rows in memory, with conditional transactions."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -48,8 +48,8 @@
 
     def commit(self, change: rows.Transaction) -> rows.Change:
         """Apply a transaction if its conditions hold."""
-        for one in change.conditions:
-            if self.get_version(one.table, one.key) != one.version:
+        for condition in change.conditions:
+            if self.get_version(condition.table, condition.key) != condition.version:
                 conflicts = tuple(
                     rows.Row(c.table, POOL, c.key, *self.rows[c.table, c.key])
                     for c in change.conditions
@@ -65,17 +65,17 @@
         return rows.Change(table.Outcome.DONE, self.version)
 
     def get_version(self, name: str, key: str) -> int:
-        """Return the version of a row, 0 when there is none."""
+        """Return the version of a row, 0 if there is none."""
         return self.rows.get((name, key), (b"", 0))[1]
 
     def list_rows(self, name: str) -> list[tuple[str, bytes, int]]:
         """Return key, value and version of a table's rows."""
-        found = [(k, *v) for (t, k), v in self.rows.items() if t == name]
-        return sorted(found)
+        listed = [(k, *v) for (t, k), v in self.rows.items() if t == name]
+        return sorted(listed)
 
 
 class Leader:
-    """One leader, with the I/O of `task` and `caller` replaced by the schedule."""
+    """One leader; the schedule replaces the I/O of `runner` and `dispatcher`."""
 
     def __init__(self, world: "World", epoch: int) -> None:
         self.world = world
@@ -86,16 +86,16 @@
         version = world.store.get_version(*key)
         owner = rows.Condition(key[0], POOL, key[1], version)
         write = rows.Write(key[0], POOL, key[1], f"{epoch}".encode())
-        done = world.store.commit(rows.Transaction((owner,), (write,)))
-        fence = done.version
+        change = world.store.commit(rows.Transaction((owner,), (write,)))
+        fence = change.version
         if not world.switches.fence:
             fence = 1
-        if not world.switches.rising_numbers:
+        if not world.switches.increasing_numbers:
             epoch = 1
         longest = dispatcher.OUTAGE_LEASE if world.switches.wait_after_takeover else 0.0
         times = view.TimeBounds(longest, 0.0)
         self.pool = core.Pool(POOL, fence, epoch, times, world.now, lambda *a, **k: 0)
-        self.pool.ledger.fence = done.version
+        self.pool.ledger.fence = change.version
         self.pool.on_queues([model.Queue("q", "h", "/p/", POOL, max_attempts=3)])
         self._load()
         self.planner = planner.Planner(self.pool)
@@ -105,14 +105,14 @@
     def _load(self) -> None:
         store, now = self.world.store, self.world.now
         for id, value, version in store.list_rows("job"):
-            self.pool.on_job(id, record.read_job(id, value), version, PLACE)
+            self.pool.on_job(id, record.read_job(id, value), version, LOCATION)
         for id, value, version in store.list_rows(pool_record.PROGRESS_TABLE):
             self.pool.on_progress(id, value, version)
-        for one in self.world.workers:
-            if one.alive:
-                clock = one.read_clock(max(0.0, now - 1.0))
+        for worker in self.world.workers:
+            if worker.alive:
+                clock = worker.read_clock(max(0.0, now - 1.0))
                 entry = entries.WorkerEntry(
-                    one.id, POOL, one.id, "", False, ROOM, ("r1",), clock
+                    worker.id, POOL, worker.id, "", False, ROOM, ("r1",), clock
                 )
                 self.pool.on_worker(entry, now)
         if not self.world.switches.wait_after_takeover:
@@ -121,29 +121,29 @@
             self.pool.on_roster(id, id, version, now)
 
     def may_order(self) -> bool:
-        """Whether it runs and believes in its lease."""
+        """Return whether it is running and its lease is valid by its own clock."""
         now = self.world.now
         if not self.alive or now < self.paused_until or self.pool.deposed:
             return False
         return now < self.lease_until or not self.world.switches.stop_at_lease_end
 
     def act(self) -> None:
-        """Decide once, and send what was decided."""
+        """Plan one round and send its orders."""
         now = self.world.now
         if not self.may_order():
             return
         if not self.world.switches.lapse_before_restart:
-            for one in self.pool.vms.values():
-                if one.is_silent:
-                    one.lease_deadline = 0.0
+            for machine in self.pool.vms.values():
+                if machine.is_silent:
+                    machine.lease_deadline = 0.0
         for order in self.planner.plan(now, now):
             if isinstance(order, message.Start):
                 self._send_start(order)
             else:
                 self.world.send_stop(self, order)
-        for one in list(self.pool.vms.values()):
-            if self.next_hold.get(one.id, 0.0) <= now:
-                self._send_hold(one)
+        for machine in list(self.pool.vms.values()):
+            if self.next_hold.get(machine.id, 0.0) <= now:
+                self._send_hold(machine)
         self._commit()
 
     def _send_start(self, start: message.Start) -> None:
@@ -158,32 +158,32 @@
             run.deadline = run.vm.compute_clock(self.world.now)
         self.world.send_start(self, run, order)
 
-    def _send_hold(self, one: Any) -> None:
+    def _send_hold(self, machine: Any) -> None:
         now = self.world.now
         deadline = None
-        if one.knows_clock and not one.is_silent:
-            deadline = one.compute_deadline(now, dispatcher.WORKER_LEASE)
-            one.record_lease_deadline(deadline)
-        self.next_hold[one.id] = now + 1.0
-        noted = (
-            one.committed_end
-            if self.world.switches.commit_before_noting
-            else one.processed_end
+        if machine.knows_clock and not machine.is_silent:
+            deadline = machine.compute_deadline(now, dispatcher.WORKER_LEASE)
+            machine.record_lease_deadline(deadline)
+        self.next_hold[machine.id] = now + 1.0
+        acknowledged = (
+            machine.committed_end
+            if self.world.switches.commit_before_acknowledging
+            else machine.processed_end
         )
-        self.world.send_hold(self, one, deadline, noted)
+        self.world.send_hold(self, machine, deadline, acknowledged)
 
     def _commit(self) -> None:
         if self.committing:
             return
         batch = self.pool.ledger.collect(self.pool.jobs, self.pool.vms)
         if not batch.transaction.writes:
-            self._note(batch.processed_ends)
+            self._record_commit(batch.processed_ends)
             return
         self.committing = True
         self.world.send_commit(self, batch)
 
     def on_committed(self, batch: Any, change: rows.Change) -> None:
-        """Take the answer to a commit."""
+        """Apply the answer to a commit."""
         self.committing = False
         result = self.pool.ledger.on_result(batch, change)
         self.pool.deposed = self.pool.deposed or result.deposed
@@ -193,21 +193,23 @@
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
         self.pool.on_finals_durable(batch.final_jobs)
-        self._note(batch.processed_ends)
+        self._record_commit(batch.processed_ends)
 
-    def _note(self, seen: dict[str, int]) -> None:
-        for id, number in seen.items():
+    def _record_commit(self, processed_ends: dict[str, int]) -> None:
+        for id, number in processed_ends.items():
             if id in self.pool.vms:
                 self.pool.vms[id].committed_end = number
 
 
 class World:
-    """Time, workers, store, leaders, and what is on the way between them."""
+    """Time, workers, store, leaders and the calls in flight between them."""
 
-    def __init__(self, seed: int, switches: Switches, *, trouble: float = 1.0) -> None:
+    def __init__(
+        self, seed: int, switches: Switches, *, fault_rate: float = 1.0
+    ) -> None:
         self.rng = random.Random(seed)
         self.switches = switches
-        self.trouble = trouble
+        self.fault_rate = fault_rate
         self.now = 100.0
         self.events: list[siteworker.Event] = []
         self.store = Store()
@@ -227,14 +229,14 @@
         )
 
     def run(self, seconds: float) -> None:
-        """Play a history."""
+        """Simulate a number of seconds."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
             self._disturb()
-            due = [one for one in self._queue if one[0] <= self.now]
-            self._queue = [one for one in self._queue if one[0] > self.now]
-            for _, _, action in sorted(due, key=lambda one: one[:2]):
+            due = [call for call in self._queue if call[0] <= self.now]
+            self._queue = [call for call in self._queue if call[0] > self.now]
+            for _, _, action in sorted(due, key=lambda call: call[:2]):
                 action()
             for worker in self.workers:
                 worker.advance(self.now)
@@ -249,17 +251,17 @@
     def _disturb(self) -> None:
         if self.rng.random() < STEP * 1.5:
             self._submit()
-        if not self.leaders or self.rng.random() < STEP * 0.12 * self.trouble:
+        if not self.leaders or self.rng.random() < STEP * 0.12 * self.fault_rate:
             self._change_leader()
-        if self.rng.random() < STEP * 0.15 * self.trouble:
+        if self.rng.random() < STEP * 0.15 * self.fault_rate:
             worker = self.rng.choice(self.workers)
             self.silent[worker.id] = self.now + self.rng.uniform(0.5, 8.0)
 
     def _change_leader(self) -> None:
         for leader in self.leaders[-1:]:
-            what = self.rng.choice(("kill", "pause", "cut"))
-            leader.alive = what != "kill"
-            if what == "pause":
+            fault = self.rng.choice(("kill", "pause", "cut"))
+            leader.alive = fault != "kill"
+            if fault == "pause":
                 leader.paused_until = self.now + self.rng.uniform(0.1, 6.0)
                 leader.lease_until = self.now
         self._epoch += 1
@@ -274,11 +276,13 @@
         job = model.Job(id, "q", "", (step, after)[: self.rng.randint(1, 2)])
         row = record.write_job(job, POOL, self.now)
         write = rows.Write("job", POOL, id, row)
-        done = self.store.commit(rows.Transaction((), (write,)))
+        change = self.store.commit(rows.Transaction((), (write,)))
         if self.leaders and self.leaders[-1].alive:
             leader = self.leaders[-1]
             read = record.read_job(id, row)
-            self._later(0.01, lambda: leader.pool.on_job(id, read, done.version, PLACE))
+            self._later(
+                0.01, lambda: leader.pool.on_job(id, read, change.version, LOCATION)
+            )
 
     # -- calls
 
@@ -287,10 +291,12 @@
         self._queue.append((self.now + delay, self._count, action))
 
     def _send(self, worker_id: str, call: Any, answer: Any) -> None:
-        """Deliver a call, and its answer or None when that is lost."""
-        worker = next(one for one in self.workers if one.id == worker_id)
-        late = self.rng.random() < 0.04 * self.trouble
-        lost = self.rng.random() < 0.04 * self.trouble
+        """Deliver a call and its answer, or None if the answer is lost."""
+        worker = next(
+            candidate for candidate in self.workers if candidate.id == worker_id
+        )
+        late = self.rng.random() < 0.04 * self.fault_rate
+        lost = self.rng.random() < 0.04 * self.fault_rate
         delay = self.rng.uniform(2, 12) if late else self.rng.uniform(0.001, 0.05)
         sent = self.now
         state = {"answered": False}
@@ -337,7 +343,7 @@
         )
 
     def send_hold(
-        self, leader: Leader, one: Any, deadline: float | None, noted: int
+        self, leader: Leader, machine: Any, deadline: float | None, acknowledged: int
     ) -> None:
         """Send a renewal."""
         fence = leader.pool.fence
@@ -346,21 +352,21 @@
             if not leader.alive or self.now < leader.paused_until:
                 return
             verdict, running, ended = result or (workers.Verdict.UNKNOWN, (), ())
-            one.is_silent = verdict is not workers.Verdict.DONE
+            machine.is_silent = verdict is not workers.Verdict.DONE
             reply = workers.HoldReply(verdict, clock, sent, self.now, running, ended)
-            leader.pool.on_hold(one, reply, self.now)
-            leader.next_hold[one.id] = self.now + 0.1
+            leader.pool.on_hold(machine, reply, self.now)
+            leader.next_hold[machine.id] = self.now + 0.1
 
         self._send(
-            one.id,
-            lambda worker: worker.hold(fence, deadline, noted, self.now),
+            machine.id,
+            lambda worker: worker.hold(fence, deadline, acknowledged, self.now),
             answer,
         )
 
     def send_commit(self, leader: Leader, batch: Any) -> None:
-        """Send a transaction; its answer may be lost, it may be done late."""
-        late = self.rng.random() < 0.05 * self.trouble
-        lost = self.rng.random() < 0.05 * self.trouble
+        """Send a transaction; it may be applied late, and its answer may be lost."""
+        late = self.rng.random() < 0.05 * self.fault_rate
+        lost = self.rng.random() < 0.05 * self.fault_rate
         delay = self.rng.uniform(1, 6) if late else 0.005
         unknown = rows.Change(table.Outcome.UNKNOWN)
 
@@ -381,12 +387,12 @@
 
 
 def check(events: list[siteworker.Event]) -> list[str]:
-    """Return what went wrong in a history, a line each."""
+    """Return the faults in a history, one line each."""
     return runs.check_runs(events, lambda task: STEP_CPU[task.step], ROOM.cpu)
 
 
 def find_unfinished(world: World) -> list[str]:
     """Return the jobs whose rows aren't final."""
-    noted = world.store.list_rows(pool_record.PROGRESS_TABLE)
-    final = {id for id, value, _ in noted if record.read_final(value) is not None}
+    progress = world.store.list_rows(pool_record.PROGRESS_TABLE)
+    final = {id for id, value, _ in progress if record.read_final(value) is not None}
     return [id for id, _, _ in world.store.list_rows("job") if id not in final]
--- a/wigeonhitch/pool/tests/test_dispatcher.py
+++ b/wigeonhitch/pool/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""What a leader that gives a pool up passes on of its workers' leases."""
+"""Leases that a leader reports to its successor, and orders of a deposed leader."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """Set this daemon's time; begins at 100 s."""
+    """Control this daemon's time, which begins at 100 s."""
 
     class Clock:
         now = 100.0
@@ -21,53 +21,49 @@
 
 
 @pytest.fixture
-def make_caller(clock):
-    """Make the caller of a leader that takes over now."""
+def make_dispatcher(clock):
+    """Make the dispatcher of a leader that takes over now."""
 
-    def make(predecessors_lease):
-        times = view.TimeBounds(predecessors_lease, GRACE)
-        pool = core.Pool("p", 10, 2, times, clock.now, lambda what, **fields: None)
+    def make(earlier_lease):
+        times = view.TimeBounds(earlier_lease, GRACE)
+        pool = core.Pool("p", 10, 2, times, clock.now, lambda event, **fields: None)
         return dispatcher.Dispatcher(pool, None, list, lambda: None, None)
 
     return make
 
 
-def test_what_a_leader_before_granted_is_passed_on_as_well(make_caller, clock):
-    """What could be seen: one task run twice at the same time, two hand-overs on.
+def test_reported_lease_includes_that_of_the_earlier_leader(make_dispatcher, clock):
+    """Guards against two concurrent runs of a task after two hand-overs.
 
-    How: during an outage of the store the first leader granted 6.5 s and gave the
-    pool up; the second gave it up 0.3 s later and passed on its own 3.8 s. The third
-    waited that long for a VM that it couldn't reach, and started its tasks elsewhere
-    while they ran on for 2 s.
-
-    Cause: the figure told what this leader had granted, and was taken for all that
-    may still last. It now holds the rest of what the one before granted.
+    The first leader granted 6.5 s during a store outage and gave the pool up. The
+    second gave it up 0.3 s later and reported only its own 3.8 s, so that the third
+    restarted the tasks of an unreachable VM while they ran on for 2 s.
     """
-    one = make_caller(dispatcher.OUTAGE_LEASE)
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
     clock.now += 0.3
 
-    assert one.compute_max_granted_lease() >= dispatcher.OUTAGE_LEASE - 0.3
+    assert sender.compute_max_granted_lease() >= dispatcher.OUTAGE_LEASE - 0.3
 
 
-def test_an_earlier_lease_is_passed_on_by_the_slowest_clock(make_caller, clock):
-    one = make_caller(dispatcher.OUTAGE_LEASE)
+def test_earlier_lease_is_counted_by_the_slowest_clock(make_dispatcher, clock):
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
     clock.now += 2.0
 
     passed = 2.0 * (1 - vm.MAX_CLOCK_DRIFT)
-    assert one.compute_max_granted_lease() == pytest.approx(
+    assert sender.compute_max_granted_lease() == pytest.approx(
         dispatcher.OUTAGE_LEASE - passed
     )
 
 
-def test_what_has_run_out_is_not_passed_on_again(make_caller, clock):
-    one = make_caller(dispatcher.OUTAGE_LEASE)
+def test_expired_earlier_lease_is_not_reported(make_dispatcher, clock):
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
     clock.now += dispatcher.OUTAGE_LEASE
 
-    assert one.compute_max_granted_lease() == dispatcher.WORKER_LEASE
+    assert sender.compute_max_granted_lease() == dispatcher.WORKER_LEASE
 
 
 class Calls:
-    """Counts the starts that leave."""
+    """Counts the starts that are sent."""
 
     def __init__(self):
         self.starts = 0
@@ -78,26 +74,23 @@
 
 
 @pytest.mark.anyio
-async def test_a_leader_that_a_worker_has_deposed_starts_nothing_more(bench):
-    """What could be seen: one task run twice at the same time.
-
-    How: a worker answered that it has seen a higher token, in the moment in which a
-    start had been decided. The start still left for another VM, that had not heard of
-    the successor yet.
+async def test_deposed_leader_sends_no_start(bench):
+    """Guards against two concurrent runs of a task.
 
-    Cause: the right to order was asked of the lease and the term, not of what is known
-    of the successor. An order leaves only while nobody has deposed its leader.
+    A worker reported a higher fencing token just after a start had been planned. The
+    start was still sent to another VM, which didn't know the successor yet, as only
+    the lease and the term were checked before sending.
     """
     calls = Calls()
     deps = dependencies.Dependencies(
         None, calls, None, metric.Instruments(), lambda: True, None, None, 60.0, None
     )
-    one = dispatcher.Dispatcher(bench.pool, deps, list, lambda: None, None)
+    sender = dispatcher.Dispatcher(bench.pool, deps, list, lambda: None, None)
     bench.add_vm()
     bench.add_job()
     (start,) = bench.plan()
     bench.pool.deposed = True
 
-    await one.send_start(start)
+    await sender.send_start(start)
 
     assert calls.starts == 0
--- a/wigeonhitch/pool/tests/test_health.py
+++ b/wigeonhitch/pool/tests/test_health.py
@@ -1,4 +1,4 @@
-"""VMs on which tasks stand still or crawl while they answer as ever."""
+"""Degraded VMs, whose tasks are stuck or slow although they answer."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return model.Step(1, model.Room(1000, 100), 1.0)
 
 
-def start_one(bench, step):
+def start_task(bench, step):
     bench.add_vm("w1")
     bench.add_vm("w2")
     bench.add_job("j", step)
@@ -24,30 +24,30 @@
 
 
 def start_pair(bench, listed, *, peer_work):
-    """Run both tasks of a step on VMs of their own, one of them slowly."""
+    """Run two tasks of a step on separate VMs, one of them slowly."""
     bench.add_vm("w1")
     bench.add_vm("w2")
     bench.add_job("j", model.Step(2, model.Room(1000, 100), 1.0, spread=1))
     run, peer = bench.start()
     bench.add_vm("w3")
     bench.answer(peer.vm, [listed(peer, peer_work)], now=NOW + 0.8)
-    show(bench, run, listed, 12, NOW + 0.9)
+    report_work(bench, run, listed, 12, NOW + 0.9)
     return run, peer
 
 
-def show(bench, run, listed, work, now):
+def report_work(bench, run, listed, work, now):
     bench.answer(run.vm, [listed(run, work)], now=now)
-    for one in bench.pool.vms.values():
-        one.last_answer = now
+    for machine in bench.pool.vms.values():
+        machine.last_answer = now
 
 
-def test_a_task_that_stands_still_begins_again_elsewhere(bench, listed, ended, step):
-    run = start_one(bench, step)
-    show(bench, run, listed, 60, NOW + 0.3)
-    show(bench, run, listed, 60, NOW + 1.2)
+def test_stuck_task_is_restarted_elsewhere(bench, listed, ended, step):
+    run = start_task(bench, step)
+    report_work(bench, run, listed, 60, NOW + 0.3)
+    report_work(bench, run, listed, 60, NOW + 1.2)
     assert bench.plan(NOW + 1.2) == []
 
-    show(bench, run, listed, 60, NOW + 1.5)
+    report_work(bench, run, listed, 60, NOW + 1.5)
     (stop,) = bench.plan(NOW + 1.5)
     assert stop.task == run.task
 
@@ -57,16 +57,16 @@
     assert again.vm is not run.vm
 
 
-def test_a_task_that_moves_is_left_alone(bench, listed, step):
-    run = start_one(bench, step)
+def test_task_with_progress_is_left_alone(bench, listed, step):
+    run = start_task(bench, step)
     for tenth in range(1, 15):
         now = NOW + tenth / 10
-        show(bench, run, listed, 6 * tenth, now)
+        report_work(bench, run, listed, 6 * tenth, now)
         assert bench.plan(now) == []
 
 
-def test_a_task_on_a_slow_vm_begins_again_elsewhere_once(bench, listed, ended):
-    """Its step's other task, on another VM, gets on as the estimate says."""
+def test_task_on_slow_vm_is_restarted_elsewhere_once(bench, listed, ended):
+    """The step's other task, on another VM, progresses as estimated."""
     run, peer = start_pair(bench, listed, peer_work=60)
 
     (stop,) = bench.plan(NOW + 0.9)
@@ -74,51 +74,51 @@
     bench.answer(run.vm, ended=[end], now=NOW + 1.0)
     bench.answer(peer.vm, ended=[ended(1, peer)], now=NOW + 1.0)
     (again,) = bench.start(NOW + 1.0)
-    show(bench, again, listed, 12, NOW + 2.0)
+    report_work(bench, again, listed, 12, NOW + 2.0)
 
     assert stop.number == run.number
     assert bench.plan(NOW + 2.0) == []
 
 
-def test_a_job_that_is_long_by_itself_is_left_alone(bench, listed):
-    """The load: estimates off by nine tenths; all tasks of the step are long."""
+def test_task_that_is_slow_on_all_vms_is_left_alone(bench, listed):
+    """The estimate is off by nine tenths, so all tasks of the step are slow."""
     run, _ = start_pair(bench, listed, peer_work=12)
 
     assert bench.plan(NOW + 0.9) == []
     assert not run.vm.is_quarantined(NOW + 0.9)
 
 
-def test_tasks_of_several_jobs_that_crawl_on_one_vm_are_its_doing(bench, listed, step):
-    """No other VM runs their steps, so there is nothing to compare them with."""
-    one = bench.add_vm("w1")
+def test_vm_with_slow_tasks_of_several_jobs_is_degraded(bench, listed, step):
+    """No other VM runs their steps, so there are no peers to compare with."""
+    machine = bench.add_vm("w1")
     bench.add_job("j", step)
     bench.add_job("k", step)
     runs = bench.start()
     other = bench.add_vm("w2")
-    bench.answer(one, [listed(run, 12) for run in runs], now=NOW + 0.9)
+    bench.answer(machine, [listed(run, 12) for run in runs], now=NOW + 0.9)
     other.last_answer = NOW + 0.9
 
     assert bench.plan(NOW + 0.9)
 
 
-def test_a_task_that_is_nearly_done_stays_where_it_is(bench, listed, step):
-    run = start_one(bench, step)
-    show(bench, run, listed, 85, NOW + 3.5)
+def test_nearly_done_task_is_left_alone(bench, listed, step):
+    run = start_task(bench, step)
+    report_work(bench, run, listed, 85, NOW + 3.5)
 
     assert bench.plan(NOW + 3.5) == []
 
 
-def test_nothing_is_moved_where_there_is_no_other_vm(bench, listed, step):
+def test_task_is_left_alone_without_another_vm(bench, listed, step):
     bench.add_vm("w1")
     bench.add_job("j", step)
     (run,) = bench.start()
-    show(bench, run, listed, 20, NOW + 0.1)
-    show(bench, run, listed, 20, NOW + 2.0)
+    report_work(bench, run, listed, 20, NOW + 0.1)
+    report_work(bench, run, listed, 20, NOW + 2.0)
 
     assert bench.plan(NOW + 2.0) == []
 
 
-def test_a_vm_with_two_sick_runs_is_set_aside(bench, listed):
+def test_vm_with_two_stuck_runs_is_quarantined(bench, listed):
     step = model.Step(4, model.Room(1000, 100), 1.0)
     first = start_one_step(bench, step)
     bench.answer(first, [listed(run, 20) for run in first.runs.values()], now=NOW + 0.1)
@@ -131,15 +131,15 @@
 
 
 def start_one_step(bench, step):
-    one = bench.add_vm("w1")
+    machine = bench.add_vm("w1")
     bench.add_job("j", step)
     bench.start()
     bench.add_vm("w2")
-    return one
+    return machine
 
 
 @pytest.mark.parametrize("fields", [{"gang": True}, {"fills": True}])
-def test_runs_whose_pace_is_others_doing_are_left_alone(make_state, fields):
+def test_runs_paced_by_other_tasks_are_left_alone(make_state, fields):
     class Stub:
         last_answer = reported_clock = NOW + 9
 
@@ -151,41 +151,38 @@
     assert not health.is_slow(run, NOW + 9)
 
 
-def answer_elsewhere(bench, run, now):
-    """Let the other VM answer, so that the task could begin again there."""
-    (other,) = [one for one in bench.pool.vms.values() if one is not run.vm]
+def answer_from_other_vm(bench, run, now):
+    """Let the other VM answer, so that the task could be restarted there."""
+    (other,) = [machine for machine in bench.pool.vms.values() if machine is not run.vm]
     bench.answer(other, now=now)
 
 
-def test_a_lasting_task_is_not_judged_by_the_leaders_own_pause(bench, listed):
-    """What could be seen: an order ends more of a lasting step than it may miss.
+def test_pause_of_the_leader_does_not_count_as_missing_progress(bench, listed):
+    """Guards against stopping more tasks of a lasting step than may be unavailable.
 
-    How: a daemon was paused for two seconds as its tasks were starting up. It went on
-    within its lease, saw no progress since, and began three tasks of one step again
-    elsewhere, though their VM answered in time.
-
-    Cause: the leader's own time stood for the time that a VM had told of. Progress is
-    judged by the worker's clock in its answers.
+    A leader that was paused for two seconds while tasks started up resumed within its
+    lease, saw no progress by its own clock and restarted three of them. Progress must
+    be judged by the worker's clock in its answers.
     """
-    run = start_one(bench, model.Step(1, model.Room(1000, 100), 1.0, lasting=True))
-    show(bench, run, listed, 0, NOW + 0.1)
-    answer_elsewhere(bench, run, NOW + 2.5)
+    run = start_task(bench, model.Step(1, model.Room(1000, 100), 1.0, lasting=True))
+    report_work(bench, run, listed, 0, NOW + 0.1)
+    answer_from_other_vm(bench, run, NOW + 2.5)
 
     assert bench.plan(NOW + 2.5) == []
 
-    show(bench, run, listed, 0, NOW + 2.6)
+    report_work(bench, run, listed, 0, NOW + 2.6)
     (stop,) = bench.plan(NOW + 2.6)
     assert stop.task == run.task
 
 
-def test_a_task_is_not_judged_by_an_answer_from_before_its_leaders_pause(
+def test_late_answer_after_a_pause_does_not_count_as_missing_progress(
     bench, listed, step
 ):
-    run = start_one(bench, step)
-    show(bench, run, listed, 60, NOW + 0.3)
+    run = start_task(bench, step)
+    report_work(bench, run, listed, 60, NOW + 0.3)
     told = (conftest.CLOCK + 0.4, NOW + 0.3, NOW + 2.4, (listed(run, 60),))
     late = workers.HoldReply(workers.Verdict.DONE, *told)
     bench.pool.on_hold(run.vm, late, NOW + 2.4)
-    answer_elsewhere(bench, run, NOW + 2.4)
+    answer_from_other_vm(bench, run, NOW + 2.4)
 
     assert bench.plan(NOW + 2.4) == []
--- a/wigeonhitch/pool/vm.py
+++ b/wigeonhitch/pool/vm.py
@@ -125,9 +125,9 @@
     @property
     def is_at_work(self) -> bool:
         """Whether a lasting task is known to be fully available."""
-        known = self.state is RunState.RUNNING and not self.vm.is_silent
+        is_running = self.state is RunState.RUNNING and not self.vm.is_silent
         is_confirmed = self.vm.last_answer >= self.sure_from
-        return known and is_confirmed and self.work >= 100
+        return is_running and is_confirmed and self.work >= 100
 
 
 class Vm:
