--- a/wigeonhitch/pool/tests/test_health.py
+++ b/wigeonhitch/pool/tests/test_health.py
@@ -180,8 +180,8 @@
 ):
     run = start_task(bench, step)
     report_work(bench, run, listed, 60, NOW + 0.3)
-    told = (conftest.CLOCK + 0.4, NOW + 0.3, NOW + 2.4, (listed(run, 60),))
-    late = workers.HoldReply(workers.Verdict.DONE, *told)
+    timing = (conftest.CLOCK + 0.4, NOW + 0.3, NOW + 2.4, (listed(run, 60),))
+    late = workers.HoldReply(workers.Verdict.DONE, *timing)
     bench.pool.on_hold(run.vm, late, NOW + 2.4)
     answer_from_other_vm(bench, run, NOW + 2.4)
 
