--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -74,11 +74,11 @@
 def claim_by_owner_alone() -> None:
     """Claim a pool also beside a lease that was renewed meanwhile."""
 
-    def expect_vacant(self: Any, pool: str) -> tuple[Any, ...]:
+    def build_claim_conditions(self: Any, pool: str) -> tuple[Any, ...]:
         owner = self.owners.get(pool)
         return (record.expect_owner(pool, owner.version if owner else 0),)
 
-    leadership.Leadership.expect_vacant = expect_vacant
+    leadership.Leadership.build_claim_conditions = build_claim_conditions
 
 
 def order_after_the_end() -> None:
@@ -88,12 +88,12 @@
 
 def accept_without_condition() -> None:
     """Accept a job whether or not a pool holds it."""
-    original = acceptance._plan_rows
+    original = acceptance._build_transaction
 
     def plan_rows(*given: Any) -> Any:
         return original(*given)._replace(conditions=())
 
-    acceptance._plan_rows = plan_rows
+    acceptance._build_transaction = plan_rows
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
