--- a/wigeonhitch/asgi.py
+++ b/wigeonhitch/asgi.py
@@ -1,4 +1,4 @@
-"""What every ASGI application does with its messages."""
+"""Message handling shared by the ASGI applications."""
 
 from typing import Any
 
@@ -6,39 +6,39 @@
 
 
 async def serve_lifespan(receive: Any, send: Any) -> None:
-    """Answer the lifespan messages."""
+    """Answer lifespan messages until shutdown."""
     while True:
-        given = await receive()
-        await send({"type": given["type"] + ".complete"})
-        if given["type"] == "lifespan.shutdown":
+        message = await receive()
+        await send({"type": message["type"] + ".complete"})
+        if message["type"] == "lifespan.shutdown":
             return
 
 
-async def read_body(receive: Any, limit: int) -> bytes | None:
+async def read_body(receive: Any, max_bytes: int) -> bytes | None:
     """Return a request's whole body.
 
     Parameters
     ----------
     receive : callable
-        Returns the request's next message.
-    limit : int
-        Most bytes.
+        Returns the next ASGI message of the request.
+    max_bytes : int
+        Maximum size of the body, in bytes.
 
     Returns
     -------
     bytes or None
-        None when the body is too large or broken off.
+        None when the body exceeds the limit or the client disconnects early.
     """
-    parts: list[bytes] = []
-    size = 0
+    chunks: list[bytes] = []
+    received_bytes = 0
     while True:
-        given = await receive()
-        if given["type"] != "http.request":
+        message = await receive()
+        if message["type"] != "http.request":
             return None
-        part = given.get("body", b"")
-        size += len(part)
-        if size > limit:
+        chunk = message.get("body", b"")
+        received_bytes += len(chunk)
+        if received_bytes > max_bytes:
             return None
-        parts.append(part)
-        if not given.get("more_body", False):
-            return b"".join(parts)
+        chunks.append(chunk)
+        if not message.get("more_body", False):
+            return b"".join(chunks)
--- a/wigeonhitch/feed.py
+++ b/wigeonhitch/feed.py
@@ -1,4 +1,4 @@
-"""Following of one table in the platform's store."""
+"""Following the changes of a table in the platform's store."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from typing import NamedTuple
@@ -11,34 +11,34 @@
 
 
 class FollowTiming(NamedTuple):
-    """Seconds of one follower."""
+    """Waits and timeouts of one follower, in seconds."""
 
     wait: float
-    """For which a feed waits; a silent connection is found after it."""
+    """Time that a call waits for changes; a dead connection is detected after it."""
     timeout: float
-    """After which a feed's call counts as lost."""
+    """Time after which a call counts as failed."""
     retry: float
-    """Between tries of a call that failed."""
+    """Delay before a failed call is retried."""
     pause: float = 0.0
-    """Between an answer and the next call."""
+    """Delay between an answer and the next call."""
 
 
 def _always() -> bool:
     return True
 
 
-def _leave(version: int) -> None:
+def _ignore_version(version: int) -> None:
     pass
 
 
 async def follow(
     store: rows.RowStore,
-    name: str,
-    read_all: Callable[[], Awaitable[int]],
-    take: Callable[[tuple[rows.Row, ...]], None],
-    times: FollowTiming,
-    is_wanted: Callable[[], bool] = _always,
-    note: Callable[[int], None] = _leave,
+    table_name: str,
+    read_snapshot: Callable[[], Awaitable[int]],
+    on_rows: Callable[[tuple[rows.Row, ...]], None],
+    timing: FollowTiming,
+    is_enabled: Callable[[], bool] = _always,
+    on_version: Callable[[int], None] = _ignore_version,
 ) -> None:
     """Read a table, then follow its changes, until cancelled.
 
@@ -46,54 +46,57 @@
     ----------
     store : rows.RowStore
         The platform's store.
-    name : str
+    table_name : str
         The table.
-    read_all : callable
-        Reads what is there; returns the version to follow from, or 0 when it
-        couldn't be read. Called again when the store's history is dropped.
-    take : callable
-        Takes the changed rows of each answer, also when there are none.
-    times : Times
+    read_snapshot : callable
+        Reads the current rows; returns the version to follow from, or 0 when the
+        read failed. Called again when the store has dropped its history.
+    on_rows : callable
+        Receives the changed rows of each answer, also when there are none.
+    timing : FollowTiming
         Waits and timeouts.
-    is_wanted : callable
-        Whether to read at all; what was read before is read anew afterwards.
-    note : callable
-        Takes, after each answer, the store's version up to which all is known.
+    is_enabled : callable
+        Whether to read at all; a new snapshot is read once it is enabled again.
+    on_version : callable
+        Receives, after each answer, the store's version up to which all changes
+        are known.
     """
-    after = 0
+    after_version = 0
     while True:
-        if not is_wanted():
-            after = 0
-            await anyio.sleep(times.retry)
+        if not is_enabled():
+            after_version = 0
+            await anyio.sleep(timing.retry)
             continue
-        if not after:
-            after = await read_all()
-            if not after:
-                await anyio.sleep(times.retry)
+        if not after_version:
+            after_version = await read_snapshot()
+            if not after_version:
+                await anyio.sleep(timing.retry)
             continue
-        feed = await store.follow(name, after, wait=times.wait, timeout=times.timeout)
+        feed = await store.follow(
+            table_name, after_version, wait=timing.wait, timeout=timing.timeout
+        )
         if feed.expired:
-            after = 0
+            after_version = 0
         elif feed.outcome is table.Outcome.DONE:
-            after = max(after, feed.version)
-            take(feed.rows)
-            note(after)
-            await anyio.sleep(times.pause)
+            after_version = max(after_version, feed.version)
+            on_rows(feed.rows)
+            on_version(after_version)
+            await anyio.sleep(timing.pause)
         else:
-            await anyio.sleep(times.retry)
+            await anyio.sleep(timing.retry)
 
 
 async def read_parts(
     read_part: Callable[[str], Awaitable[rows.Range]], parts: Iterable[str]
 ) -> int:
-    """Read parts one after the other; return the oldest version, or 0.
+    """Read parts one after the other; return the lowest version, or 0.
 
-    0 says that a part couldn't be read, or that there is none.
+    0 means that a part couldn't be read or that there are no parts.
     """
     versions = []
     for part in parts:
-        read = await read_part(part)
-        if read.outcome is not table.Outcome.DONE:
+        part_range = await read_part(part)
+        if part_range.outcome is not table.Outcome.DONE:
             return 0
-        versions.append(read.version)
+        versions.append(part_range.version)
     return min(versions, default=0)
--- a/wigeonhitch/site/__init__.py
+++ b/wigeonhitch/site/__init__.py
@@ -1,6 +1,6 @@
 """The daemon that runs a site: answering callers and leading pools.
 
-Public: `message` (what the entry answers), `handler` (accepting, showing and
+Public: `message` (answers to callers), `handler` (accepting, showing and
 cancelling jobs), `main` (the program).
 """
 
--- a/wigeonhitch/site/acceptance.py
+++ b/wigeonhitch/site/acceptance.py
@@ -1,9 +1,9 @@
 """Accepts a job durably, once, in one pool.
 
-A job is accepted with two rows in one part, which its id names: its own, and the one
-that names the pool that holds it, under the condition that there is none of the second.
-So no other write accepts it again, in whichever pool its queue is then, however late
-it is done.
+Accepting a job writes two rows in one part, which is derived from the job's id: the
+job's own row and the holder row, which names the job's pool. The condition of the
+write is that there is no holder row yet. So no other write accepts the job again,
+however late it is applied and whichever pool the queue has by then.
 """
 
 import time
@@ -16,75 +16,84 @@
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.site import jobrows, message
 
-__all__ = ["PAUSE", "WHOLE_TIMEOUT", "Acceptance"]
+__all__ = ["REQUEST_TIMEOUT_SECONDS", "RETRY_DELAY_SECONDS", "Acceptance"]
 
-WHOLE_TIMEOUT = 2.3
-"""Seconds for all tries of a request; callers wait 3 s."""
+REQUEST_TIMEOUT_SECONDS = 2.3
+"""Time limit of all attempts of a request; callers wait 3 s."""
 
-PAUSE = 0.05
-"""Seconds between two tries."""
+RETRY_DELAY_SECONDS = 0.05
+"""Delay between two attempts."""
 
 
 class Acceptance:
-    """Writes the rows of jobs.
+    """Writes the rows of accepted jobs.
 
     Parameters
     ----------
     store : rows.RowStore
         The platform's store.
-    is_store_lost : callable
-        Whether this daemon hasn't reached the store for some time. A caller is then
-        answered, so that its next try reaches another daemon.
+    is_store_unreachable : callable
+        Whether this daemon hasn't reached the store for some time. The caller is then
+        answered at once, so that its next attempt reaches another daemon.
     """
 
     def __init__(
         self,
         store: rows.RowStore,
-        is_store_lost: Callable[[], bool] = lambda: False,
+        is_store_unreachable: Callable[[], bool] = lambda: False,
     ) -> None:
         self._store = store
-        self._is_store_lost = is_store_lost
+        self._is_store_unreachable = is_store_unreachable
 
     async def accept(self, queue: model.Queue, job: model.Job) -> message.Answer:
         """Accept a job, or find that it was accepted before."""
-        deadline = http.read_clock() + WHOLE_TIMEOUT
-        change = _build_transaction(queue, job)
-        lost = False
+        deadline = http.read_clock() + REQUEST_TIMEOUT_SECONDS
+        transaction = _build_transaction(queue, job)
+        may_be_written = False
         while True:
-            result = await self._commit(change)
+            result = await self._commit(transaction)
             if result.outcome is table.Outcome.DONE:
                 return message.Answer(message.Verdict.ACCEPTED, reason=result.reason)
-            lost = lost or result.outcome is table.Outcome.UNKNOWN
-            if not lost and result.reason != "conflict":
+            may_be_written = may_be_written or result.outcome is table.Outcome.UNKNOWN
+            if not may_be_written and result.reason != "conflict":
                 return message.refuse(result.reason)
-            is_late = http.read_clock() + PAUSE > deadline - jobrows.TIMEOUT
-            if is_late or self._is_store_lost():
-                verdict = message.Verdict.UNKNOWN if lost else message.Verdict.NOT_RUN
+            is_out_of_time = (
+                http.read_clock() + RETRY_DELAY_SECONDS
+                > deadline - jobrows.CALL_TIMEOUT_SECONDS
+            )
+            if is_out_of_time or self._is_store_unreachable():
+                verdict = (
+                    message.Verdict.UNKNOWN
+                    if may_be_written
+                    else message.Verdict.NOT_RUN
+                )
                 return message.refuse(result.reason)._replace(verdict=verdict)
-            await anyio.sleep(PAUSE)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _commit(self, change: rows.Transaction) -> rows.Change:
-        """Make one try; an outcome ``DONE`` says that the job is accepted."""
-        result = await self._store.commit(change, timeout=jobrows.TIMEOUT)
+    async def _commit(self, transaction: rows.Transaction) -> rows.Change:
+        """Make one attempt; the outcome ``DONE`` means that the job is accepted."""
+        result = await self._store.commit(
+            transaction, timeout=jobrows.CALL_TIMEOUT_SECONDS
+        )
         if any(row.value is not None for row in result.conflicts):
             return result._replace(outcome=table.Outcome.DONE, reason="known")
         return result
 
 
 def _build_transaction(queue: model.Queue, job: model.Job) -> rows.Transaction:
-    """Return the writing of a job's rows, in its queue's present pool."""
-    kept = job._replace(
+    """Return the transaction that writes a job's rows in its queue's current pool."""
+    stored_job = job._replace(
         attempts=queue.max_attempts,
         is_advised=queue.advice is not None,
         terms=model.Terms(queue.priority, queue.stretch, queue.objective),
     )
-    place = (pool_record.name_job_part(job.id), job.id)
-    absent = rows.Condition(pool_record.HOLDER_TABLE, *place, 0)
-    value = record.write_job(kept, queue.pool, time.time())
+    location = (pool_record.name_job_part(job.id), job.id)
+    no_holder = rows.Condition(pool_record.HOLDER_TABLE, *location, 0)
+    value = record.write_job(stored_job, queue.pool, time.time())
     return rows.Transaction(
-        (absent,),
+        (no_holder,),
         (
-            rows.Write(*absent[:3], queue.pool.encode()),
-            rows.Write(pool_record.name_job_table(queue.pool), *place, value),
+            rows.Write(*no_holder[:3], queue.pool.encode()),
+            rows.Write(pool_record.name_job_table(queue.pool), *location, value),
         ),
     )
--- a/wigeonhitch/site/closings.py
+++ b/wigeonhitch/site/closings.py
@@ -1,4 +1,4 @@
-"""The workers that are to be vacated, followed while a pool is led."""
+"""Follows the workers that are to be vacated, while this daemon leads a pool."""
 
 from collections.abc import Callable
 
@@ -7,91 +7,96 @@
 from wigeonhitch.maintenance import record
 from wigeonhitch.platform import rows, table
 
-__all__ = ["Follower"]
+__all__ = ["ClosingFollower"]
 
-WAIT = 1.0
-"""Seconds that the feed waits; a silent connection is found after it."""
+FEED_WAIT_SECONDS = 1.0
+"""Time that a feed call waits for changes; a dead connection is detected after it."""
 
-SLACK = 0.5
-"""Seconds beyond the wait after which the call counts as lost."""
+FEED_MARGIN_SECONDS = 0.5
+"""Time beyond the wait after which a feed call counts as failed."""
 
-PAUSE = 0.06
-"""Seconds between two calls: a round of moves changes rows many times over."""
+FEED_PAUSE_SECONDS = 0.06
+"""Delay between two calls, since one round of moves changes rows many times."""
 
-RETRY = 0.1
-"""Seconds between tries of a call that failed."""
+RETRY_DELAY_SECONDS = 0.1
+"""Delay before a failed call is retried."""
 
 
-class Follower:
+class ClosingFollower:
     """Follows the rows of workers to be vacated.
 
     Parameters
     ----------
     store : rows.RowStore
         The platform's store.
-    is_wanted : callable
-        Whether this daemon leads a pool; nothing is read otherwise.
+    is_leading : callable
+        Whether this daemon leads a pool; otherwise nothing is read.
     on_change : callable
-        Takes all workers that are to be vacated or have ended by an order, and the
-        store's version at which that is known.
+        Receives all workers that are to be vacated or were ended by an order, and
+        the store's version at which that is known.
     """
 
     def __init__(
         self,
         store: rows.RowStore,
-        is_wanted: Callable[[], bool],
+        is_leading: Callable[[], bool],
         on_change: Callable[[list[record.Closing], int], None],
     ) -> None:
         self._store = store
-        self._is_wanted = is_wanted
+        self._is_leading = is_leading
         self._on_change = on_change
-        self._workers: dict[str, record.Closing] = {}
+        self._closings: dict[str, record.Closing] = {}
         self._version = 0
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        times = feed.FollowTiming(WAIT, WAIT + SLACK, RETRY, PAUSE)
+        timing = feed.FollowTiming(
+            FEED_WAIT_SECONDS,
+            FEED_WAIT_SECONDS + FEED_MARGIN_SECONDS,
+            RETRY_DELAY_SECONDS,
+            FEED_PAUSE_SECONDS,
+        )
         await feed.follow(
             self._store,
             record.CLOSING_TABLE,
-            self._read_all,
-            self._take_all,
-            times,
-            self._is_wanted,
-            self._note,
+            self._read_snapshot,
+            self._apply_rows,
+            timing,
+            self._is_leading,
+            self._on_version,
         )
 
-    async def _read_all(self) -> int:
-        read = await self._store.read(
-            record.CLOSING_TABLE, leadership.FLEET, timeout=WAIT
+    async def _read_snapshot(self) -> int:
+        snapshot = await self._store.read(
+            record.CLOSING_TABLE, leadership.FLEET, timeout=FEED_WAIT_SECONDS
         )
-        if read.outcome is not table.Outcome.DONE:
+        if snapshot.outcome is not table.Outcome.DONE:
             return 0
-        self._workers.clear()
-        for row in read.rows:
-            self._take(row)
-        self._version = read.version
-        self._on_change(list(self._workers.values()), self._version)
-        return read.version
-
-    def _take_all(self, found: tuple[rows.Row, ...]) -> None:
-        for row in found:
-            self._take(row)
-        if found:
-            self._version = max(self._version, *(row.version for row in found))
-            self._on_change(list(self._workers.values()), self._version)
-
-    def _note(self, version: int) -> None:
-        """Take the store's version up to which all rows are known.
-
-        An answer to who wrote a row may name a later version than the row's own.
+        self._closings.clear()
+        for row in snapshot.rows:
+            self._apply_row(row)
+        self._version = snapshot.version
+        self._on_change(list(self._closings.values()), self._version)
+        return snapshot.version
+
+    def _apply_rows(self, changed_rows: tuple[rows.Row, ...]) -> None:
+        for row in changed_rows:
+            self._apply_row(row)
+        if changed_rows:
+            self._version = max(self._version, *(row.version for row in changed_rows))
+            self._on_change(list(self._closings.values()), self._version)
+
+    def _on_version(self, version: int) -> None:
+        """Record the store's version up to which all rows are known.
+
+        The writer of a row may be answered with a later version than the row's own.
         """
         self._version = max(self._version, version)
-        if self._workers:
-            self._on_change(list(self._workers.values()), self._version)
+        if self._closings:
+            self._on_change(list(self._closings.values()), self._version)
 
-    def _take(self, row: rows.Row) -> None:
+    def _apply_row(self, row: rows.Row) -> None:
         if row.value is None:
-            self._workers.pop(row.key, None)
+            self._closings.pop(row.key, None)
         else:
-            self._workers[row.key] = record.read_closing(row.key, row.value)
+            self._closings[row.key] = record.read_closing(row.key, row.value)
--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -12,7 +12,14 @@
 from wigeonhitch.platform import advice, fleet, http, node, rows, workers
 from wigeonhitch.pool import belief, caller, surroundings
 from wigeonhitch.pool import task as pool_task
-from wigeonhitch.site import catalogue, closings, contact, directory, handler, layout
+from wigeonhitch.site import (
+    closings,
+    configuration,
+    connectivity,
+    handler,
+    layout,
+    registry,
+)
 from wigeonhitch.telemetry import log, metric
 
 __all__ = ["Daemon"]
@@ -42,20 +49,20 @@
         self.settings = settings
         self.instruments = instruments
         self.stopped = anyio.Event()
-        self._contact = self._store = store = contact.Contact(store)
+        self._contact = self._store = store = connectivity.MonitoredStore(store)
         self._calls = calls
         self._advice_calls = advice_calls
         self._fleet_calls = fleet_calls
         self._fleet_runner: fleet_task.Runner | None = None
         self._group: anyio.abc.TaskGroup | None = None
         self._runners: dict[str, pool_task.Runner] = {}
-        self._follower = catalogue.Follower(
+        self._follower = configuration.ConfigurationFollower(
             store, self._on_catalogue, settings.bounds.configuration
         )
-        self._directory = directory.Directory(
+        self._directory = registry.WorkerRegistry(
             store, lambda: bool(self._runners), self._on_worker, self._on_removed
         )
-        self._closings = closings.Follower(
+        self._closings = closings.ClosingFollower(
             store, lambda: bool(self._runners), self._on_closings
         )
         self._leadership = leadership.Leadership(
@@ -77,7 +84,7 @@
             store,
             lambda: self._follower.catalogue,
             instruments,
-            self._contact.is_lost,
+            self._contact.is_unreachable,
         )
 
     @property
@@ -85,7 +92,7 @@
         """Whether new connections are welcome."""
         if self.stopped.is_set() or self._follower.catalogue is None:
             return False
-        return not self._contact.is_lost()
+        return not self._contact.is_unreachable()
 
     @property
     def is_stopping(self) -> bool:
@@ -124,7 +131,7 @@
         for runner in self._runners.values():
             runner.on_queues(self._get_queues())
 
-    def _on_worker(self, listed: directory.Listed) -> None:
+    def _on_worker(self, listed: registry.RegisteredWorker) -> None:
         for runner in self._runners.values():
             runner.on_worker(listed.entry, listed.read_at)
 
@@ -197,7 +204,7 @@
             self._fleet_calls,
             self._keeper.may_order,
             lambda: self._follower.catalogue,
-            lambda: self._follower.waves,
+            lambda: self._follower.wave_orders,
             lambda: self._leadership.clock.compute_latest(http.read_clock()),
             self.settings.name,
             bounds.order_gap,
--- a/wigeonhitch/site/exposition.py
+++ b/wigeonhitch/site/exposition.py
@@ -1,4 +1,4 @@
-"""The metrics of a daemon, at a port of their own."""
+"""Serves the metrics of a daemon, on a port of their own."""
 
 from typing import Any
 
@@ -10,14 +10,14 @@
 
 
 class Exposition:
-    """ASGI application that answers on the metrics' port and hands on the rest.
+    """ASGI application that serves the metrics' port and passes on other requests.
 
     Parameters
     ----------
     inner : callable
-        ASGI application of all other ports.
+        ASGI application that serves all other ports.
     instruments : metric.Instruments
-        What is shown.
+        The metrics that are served.
     port : int
         Port of the metrics.
     """
@@ -33,9 +33,13 @@
         if scope["type"] != "http" or server[1] != self._port:
             await self._inner(scope, receive, send)
             return
-        found = scope["path"] == PATH
-        body, headers = self._instruments.render() if found else (b"", {})
-        listed = [(name.lower().encode(), v.encode()) for name, v in headers.items()]
-        status = 200 if found else 404
-        await send({"type": "http.response.start", "status": status, "headers": listed})
+        is_metrics_path = scope["path"] == PATH
+        body, headers = self._instruments.render() if is_metrics_path else (b"", {})
+        header_list = [
+            (name.lower().encode(), value.encode()) for name, value in headers.items()
+        ]
+        status = 200 if is_metrics_path else 404
+        await send(
+            {"type": "http.response.start", "status": status, "headers": header_list}
+        )
         await send({"type": "http.response.body", "body": body})
--- a/wigeonhitch/site/jobrows.py
+++ b/wigeonhitch/site/jobrows.py
@@ -1,4 +1,4 @@
-"""Reads the rows of single jobs."""
+"""Reads the store's rows of single jobs."""
 
 from typing import NamedTuple
 
@@ -6,20 +6,20 @@
 from wigeonhitch.platform import rows, table
 from wigeonhitch.pool import record as pool_record
 
-__all__ = ["TIMEOUT", "Found", "JobRows"]
+__all__ = ["CALL_TIMEOUT_SECONDS", "JobReader", "StoredJob"]
 
-TIMEOUT = 0.9
-"""Seconds for one call of a request: 4 ms as a rule, 0.25 s where the store is slow."""
+CALL_TIMEOUT_SECONDS = 0.9
+"""Timeout of one store call; it usually takes 4 ms, 0.25 s if the store is slow."""
 
 
-class Found(NamedTuple):
-    """A job's row, and what it says."""
+class StoredJob(NamedTuple):
+    """A job's row and its decoded content."""
 
     row: rows.Row
-    read: record.JobRecord
+    parsed: record.JobRecord
 
 
-class JobRows:
+class JobReader:
     """Reads one job at a time.
 
     Parameters
@@ -32,28 +32,33 @@
         self._store = store
 
     async def read(self, pool: str, id: str) -> rows.Range:
-        """Read a pool's row of a job."""
-        name = pool_record.name_job_table(pool)
-        return await self._read_one(name, pool_record.name_job_part(id), id)
+        """Read the row of a job in a pool's table."""
+        table_name = pool_record.name_job_table(pool)
+        return await self._read_row(table_name, pool_record.name_job_part(id), id)
 
     async def read_holder(self, id: str) -> rows.Range:
         """Read the row that names the pool of a job; its value is the pool."""
         part = pool_record.name_job_part(id)
-        return await self._read_one(pool_record.HOLDER_TABLE, part, id)
+        return await self._read_row(pool_record.HOLDER_TABLE, part, id)
 
     async def read_progress(self, pool: str, id: str) -> rows.Range:
-        """Read what a pool's leader has noted of a job."""
-        return await self._read_one(pool_record.PROGRESS_TABLE, pool, id)
-
-    async def find(self, pool: str, id: str) -> Found | rows.Range:
-        """Find a job in a pool's table, or return the read that shows none."""
-        read = await self.read(pool, id)
-        if read.outcome is not table.Outcome.DONE or not read.rows:
-            return read
-        row = read.rows[0]
-        return Found(row, record.read_job(id, row.value or b""))
-
-    async def _read_one(self, name: str, part: str, id: str) -> rows.Range:
+        """Read the progress that a pool's leader has recorded for a job."""
+        return await self._read_row(pool_record.PROGRESS_TABLE, pool, id)
+
+    async def find(self, pool: str, id: str) -> StoredJob | rows.Range:
+        """Find a job in a pool's table, or return the read that found none."""
+        result = await self.read(pool, id)
+        if result.outcome is not table.Outcome.DONE or not result.rows:
+            return result
+        row = result.rows[0]
+        return StoredJob(row, record.read_job(id, row.value or b""))
+
+    async def _read_row(self, table_name: str, part: str, id: str) -> rows.Range:
         return await self._store.read(
-            name, part, first=id, last=id + "\0", limit=1, timeout=TIMEOUT
+            table_name,
+            part,
+            first=id,
+            last=id + "\0",
+            limit=1,
+            timeout=CALL_TIMEOUT_SECONDS,
         )
--- a/wigeonhitch/site/layout.py
+++ b/wigeonhitch/site/layout.py
@@ -1,8 +1,9 @@
-"""Whether the store's rows lie where this version of the product looks for them.
+"""Checks that the store's rows have the layout that this version uses.
 
-A version that spreads jobs over other tables or parts finds none of those that are
-there, and accepts them a second time. So the first daemon notes the layout in the store
-before anything else is written, and a daemon of another one does nothing.
+A version that distributes jobs over other tables or parts doesn't find the existing
+ones and accepts them a second time. The first daemon therefore records the layout in
+the store before anything else is written, and a daemon with another layout does
+nothing.
 """
 
 import enum
@@ -15,38 +16,38 @@
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.telemetry import log
 
-__all__ = ["LAYOUT_TABLE", "State", "await_layout", "make_layout"]
+__all__ = ["LAYOUT_TABLE", "LayoutState", "await_layout", "encode_layout"]
 
 LAYOUT_TABLE = "layout"
 
-NUMBER = 2
-"""Rises with each change of the rows that an earlier version couldn't read."""
+LAYOUT_VERSION = 2
+"""Incremented with each change of the rows that an earlier version can't read."""
 
-TIMEOUT = 1.0
-"""Seconds for one call."""
+CALL_TIMEOUT_SECONDS = 1.0
+"""Timeout of one call."""
 
-RETRY = 0.1
-"""Seconds between tries of a call that failed."""
+RETRY_DELAY_SECONDS = 0.1
+"""Delay before a failed call is retried."""
 
-LOOK_AGAIN = 1.0
-"""Seconds between looks at a store of another layout, which may be cleared."""
+MISMATCH_RECHECK_SECONDS = 1.0
+"""Interval of checks of a store with another layout, which may be cleared."""
 
 
-class State(enum.Enum):
-    """What a look at the store has shown."""
+class LayoutState(enum.Enum):
+    """Result of comparing the store's layout with this version's."""
 
-    FITS = "fits"
+    MATCH = "fits"
     UNKNOWN = "unknown"
     """The store couldn't be read, or the row has just been written."""
-    OTHER = "other"
-    """The rows are those of another version."""
+    MISMATCH = "other"
+    """The rows were written by a version with another layout."""
 
 
-def make_layout() -> bytes:
-    """Return the row that tells of this version's layout."""
+def encode_layout() -> bytes:
+    """Return the value of the row that describes this version's layout."""
     return orjson.dumps(
         {
-            "layout": NUMBER,
+            "layout": LAYOUT_VERSION,
             "tables": pool_record.JOB_TABLES,
             "parts": pool_record.JOB_PARTS,
         }
@@ -54,41 +55,53 @@
 
 
 async def await_layout(store: rows.RowStore) -> None:
-    """Return once the store has this version's layout; note it in an empty store."""
-    told = False
-    while (state := await _look(store)) is not State.FITS:
-        if state is State.OTHER and not told:
-            expected = make_layout().decode()
+    """Wait until the store has this version's layout; record it in an empty store."""
+    is_reported = False
+    while (state := await _check_or_write(store)) is not LayoutState.MATCH:
+        if state is LayoutState.MISMATCH and not is_reported:
+            expected = encode_layout().decode()
             log.log_problem("store has another layout", expected=expected)
-            told = True
-        await anyio.sleep(LOOK_AGAIN if state is State.OTHER else RETRY)
+            is_reported = True
+        await anyio.sleep(
+            MISMATCH_RECHECK_SECONDS
+            if state is LayoutState.MISMATCH
+            else RETRY_DELAY_SECONDS
+        )
 
 
-async def _look(store: rows.RowStore) -> State:
-    """Compare the row, or write it where no version has been before."""
+async def _check_or_write(store: rows.RowStore) -> LayoutState:
+    """Compare the layout row, or write it if no version has used the store yet."""
     state = await _compare(store)
     if state is not None:
         return state
-    led = await store.list_parts(leader_record.OWNER_TABLE, timeout=TIMEOUT)
-    if led.names is None:
-        return State.UNKNOWN
-    if led.names:
-        # Daemons of this version write the row before they lead anything.
+    owners = await store.list_parts(
+        leader_record.OWNER_TABLE, timeout=CALL_TIMEOUT_SECONDS
+    )
+    if owners.names is None:
+        return LayoutState.UNKNOWN
+    if owners.names:
+        # A daemon of this version writes the row before it claims any leadership.
         state = await _compare(store)
-        return State.OTHER if state is None else state
-    place = (LAYOUT_TABLE, LAYOUT_TABLE, LAYOUT_TABLE)
-    change = rows.Transaction(
-        (rows.Condition(*place, 0),), (rows.Write(*place, make_layout()),)
+        return LayoutState.MISMATCH if state is None else state
+    location = (LAYOUT_TABLE, LAYOUT_TABLE, LAYOUT_TABLE)
+    transaction = rows.Transaction(
+        (rows.Condition(*location, 0),), (rows.Write(*location, encode_layout()),)
+    )
+    result = await store.commit(transaction, timeout=CALL_TIMEOUT_SECONDS)
+    return (
+        LayoutState.MATCH
+        if result.outcome is table.Outcome.DONE
+        else LayoutState.UNKNOWN
     )
-    result = await store.commit(change, timeout=TIMEOUT)
-    return State.FITS if result.outcome is table.Outcome.DONE else State.UNKNOWN
 
 
-async def _compare(store: rows.RowStore) -> State | None:
-    """Return what the row says, or None where there is none."""
-    read = await store.read(LAYOUT_TABLE, LAYOUT_TABLE, timeout=TIMEOUT)
+async def _compare(store: rows.RowStore) -> LayoutState | None:
+    """Compare the layout row; return None if there is none."""
+    read = await store.read(LAYOUT_TABLE, LAYOUT_TABLE, timeout=CALL_TIMEOUT_SECONDS)
     if read.outcome is not table.Outcome.DONE:
-        return State.UNKNOWN
+        return LayoutState.UNKNOWN
     for row in read.rows:
-        return State.FITS if row.value == make_layout() else State.OTHER
+        return (
+            LayoutState.MATCH if row.value == encode_layout() else LayoutState.MISMATCH
+        )
     return None
--- a/wigeonhitch/site/main.py
+++ b/wigeonhitch/site/main.py
@@ -1,4 +1,4 @@
-"""The program of a site's daemon: serves callers and leads pools."""
+"""The program of a site's daemon, which serves callers and leads pools."""
 
 import contextlib
 import os
@@ -16,14 +16,14 @@
 
 __all__ = ["run", "serve"]
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
-QUIET = 2.2
-"""Seconds after SIGTERM in which the balancer finds that this daemon isn't
-ready any more: it asks once a second and goes by two answers."""
+READINESS_PROPAGATION_SECONDS = 2.2
+"""Time after SIGTERM within which the load balancer sees that this daemon isn't
+ready any more: it probes once a second and goes by two answers."""
 
 METRICS_PORT = 7070
-"""Port of the metrics at this process's own address, as the deploy file says."""
+"""Port of the metrics on this process's own address, as set in the deploy file."""
 
 
 def run() -> None:
@@ -35,7 +35,7 @@
         settings = node.load(path)
     except (OSError, ValueError) as error:
         log.log_problem("settings can't be used", path=path, reason=str(error))
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     log.prepare("info", stream, daemon=settings.name)
     anyio.run(serve, settings)
 
@@ -47,7 +47,7 @@
     async with contextlib.AsyncExitStack() as stack:
         client = await http.open_client(stack)
         instruments = metric.Instruments()
-        one = daemon.Daemon(
+        site_daemon = daemon.Daemon(
             settings,
             life,
             rows.Rows(client, settings.store),
@@ -56,41 +56,47 @@
             fleet.Fleet(client, settings.fleet),
             instruments,
         )
-        await _serve(settings, one)
+        await _serve(settings, site_daemon)
     log.log_change("stop", life=life)
 
 
-async def _serve(settings: node.NodeSettings, one: daemon.Daemon) -> None:
-    closed = anyio.Event()
+async def _serve(settings: node.NodeSettings, site_daemon: daemon.Daemon) -> None:
+    servers_closed = anyio.Event()
     callers = ingress.Ingress(
-        one.handler, lambda: one.is_ready, lambda: not one.is_ready
+        site_daemon.handler,
+        lambda: site_daemon.is_ready,
+        lambda: not site_daemon.is_ready,
     )
-    application = exposition.Exposition(callers, one.instruments, METRICS_PORT)
+    application = exposition.Exposition(callers, site_daemon.instruments, METRICS_PORT)
     metrics = f"{settings.ip}:{METRICS_PORT}"
     addresses = [settings.callers, settings.ready, metrics]
     async with anyio.create_task_group() as group:
-        group.start_soon(_watch_signals, one)
-        group.start_soon(one.run)
+        group.start_soon(_handle_signals, site_daemon)
+        group.start_soon(site_daemon.run)
         async with anyio.create_task_group() as servers:
             servers.start_soon(
-                server.serve_addresses, application, addresses, None, closed.wait
+                server.serve_addresses,
+                application,
+                addresses,
+                None,
+                servers_closed.wait,
             )
-            await one.stopped.wait()
-            await one.leave()
-            await anyio.sleep(QUIET)
-            closed.set()
+            await site_daemon.stopped.wait()
+            await site_daemon.leave()
+            await anyio.sleep(READINESS_PROPAGATION_SECONDS)
+            servers_closed.set()
         group.cancel_scope.cancel()
 
 
-async def _watch_signals(one: daemon.Daemon) -> None:
-    wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with anyio.open_signal_receiver(*wanted) as signals:
+async def _handle_signals(site_daemon: daemon.Daemon) -> None:
+    handled_signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with anyio.open_signal_receiver(*handled_signals) as signals:
         async for received in signals:
             if received is signal.SIGHUP:
                 log.log_change("reload", path=os.environ.get(node.NODE_FILE_VARIABLE))
             else:
                 log.log_change("stopping", signal=received.name)
-                one.stopped.set()
+                site_daemon.stopped.set()
 
 
 if __name__ == "__main__":
--- a/wigeonhitch/site/message.py
+++ b/wigeonhitch/site/message.py
@@ -7,13 +7,13 @@
 
 __all__ = ["Answer", "RequestHandler", "Verdict", "refuse"]
 
-RETRY_AFTER = 1.0
-"""Seconds after which a refused caller is told to come back, the least that
-can be said: another daemon may reach the store meanwhile."""
+RETRY_AFTER_SECONDS = 1.0
+"""Retry delay told to a refused caller. It is the shortest that can be expressed,
+since another daemon may reach the store meanwhile."""
 
 
 class Verdict(enum.Enum):
-    """What a caller is told, and whether the request may have run."""
+    """Outcome told to a caller, including whether the request may have run."""
 
     ACCEPTED = "accepted"
     FOUND = "found"
@@ -27,7 +27,7 @@
 
 
 class Answer(NamedTuple):
-    """Answer to one request; ``retry_after`` in seconds, 0: none."""
+    """Answer to one request; ``retry_after`` is in seconds, 0 for none."""
 
     verdict: Verdict
     state: model.JobState | None = None
@@ -38,7 +38,7 @@
 
 def refuse(reason: str) -> Answer:
     """Return the answer to a request that hasn't run and never will."""
-    return Answer(Verdict.NOT_RUN, retry_after=RETRY_AFTER, reason=reason)
+    return Answer(Verdict.NOT_RUN, retry_after=RETRY_AFTER_SECONDS, reason=reason)
 
 
 class RequestHandler(Protocol):
@@ -46,11 +46,11 @@
 
     @property
     def max_body_bytes(self) -> int:
-        """Most bytes of a request's body."""
+        """Maximum size of a request's body, in bytes."""
         ...
 
     def find_queue(self, host: str, path: str) -> model.Queue | Answer:
-        """Return the queue of a path, or the answer when there is none."""
+        """Return the queue of a path, or the answer to the caller if there is none."""
         ...
 
     async def submit(self, queue: model.Queue, job: model.Job) -> Answer:
@@ -66,5 +66,5 @@
         ...
 
     async def count(self, queue: model.Queue) -> Answer:
-        """Return how many accepted jobs have not begun."""
+        """Return how many accepted jobs have not started."""
         ...
--- a/wigeonhitch/site/tests/history.py
+++ b/wigeonhitch/site/tests/history.py
@@ -19,7 +19,7 @@
 from wigeonhitch.platform import http, rows, table
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.pool import tidy
-from wigeonhitch.site import acceptance, catalogue, handler, jobrows, message
+from wigeonhitch.site import acceptance, configuration, handler, jobrows, message
 from wigeonhitch.telemetry import log, metric
 
 DAEMONS = 4
@@ -67,9 +67,11 @@
 
     def __init__(self, world: "World", newest: list[bytes]) -> None:
         self.offset = world.rng.uniform(0.0, 1000.0)
-        self.follower = catalogue.Follower(simulated.Port(), lambda: None)
+        self.follower = configuration.ConfigurationFollower(
+            simulated.Port(), lambda: None
+        )
         for one in newest:
-            self.follower._take_catalogue(one)
+            self.follower._apply_catalogue(one)
         self.handler = handler.RequestHandler(
             simulated.Port(),
             lambda: self.follower.catalogue,
@@ -222,7 +224,7 @@
         self._versions.append(made)
         for life in self._lives:
             delay = self.rng.uniform(0.0, 2.0)
-            take = life.follower._take_catalogue
+            take = life.follower._apply_catalogue
             self.later(delay, lambda take=take: take(made), life)
         self.later(self.rng.expovariate(1 / self.plan.moves), self._move)
 
@@ -234,7 +236,7 @@
         newest = self._versions[-2:]
         known = newest[:1] if self.rng.random() < 0.5 else newest[-1:]
         self._lives[number] = life = Life(self, known)
-        take = life.follower._take_catalogue
+        take = life.follower._apply_catalogue
         last = self._versions[-1]
         self.later(self.rng.uniform(0.2, 2.0), lambda: take(last), life)
         self.later(self.rng.expovariate(0.5), self._restart)
@@ -371,7 +373,10 @@
 
     async def find_in_pool(self: Any, queue: model.Queue, id: str) -> Any:
         found = await self._jobs.find(queue.pool, id)
-        if isinstance(found, jobrows.Found) or found.outcome is not table.Outcome.DONE:
+        if (
+            isinstance(found, jobrows.StoredJob)
+            or found.outcome is not table.Outcome.DONE
+        ):
             return await find(self, queue, id)
         return message.Answer(message.Verdict.MISSING)
 
--- a/wigeonhitch/site/tests/test_closings.py
+++ b/wigeonhitch/site/tests/test_closings.py
@@ -39,7 +39,7 @@
 @pytest.fixture
 def follower(leader, store):
     """Follow the rows for all pools of a daemon, as it does before the takeover."""
-    return closings.Follower(
+    return closings.ClosingFollower(
         store, lambda: True, lambda *given: leader.take_closings(*given)
     )
 
@@ -63,25 +63,25 @@
     Cause: the news that came last was taken for the newest. The store's version at
     which it is known decides now.
     """
-    await follower._read_all()
+    await follower._read_snapshot()
     older = close(store, "other")
     close(store, "w1")
     await leader.load()
     assert pool.vms["w1"].closed
 
-    follower._take_all((older,))
+    follower._apply_rows((older,))
 
     assert pool.vms["w1"].closed
 
 
 async def test_newer_news_opens_what_is_closed_no_more(pool, leader, follower, store):
-    await follower._read_all()
+    await follower._read_snapshot()
     closed = close(store, "w1")
     await leader.load()
-    follower._take_all((closed,))
+    follower._apply_rows((closed,))
     store.put(record.CLOSING_TABLE, leadership.FLEET, "w1", None)
 
-    follower._take_all((closed._replace(value=None, version=store.version),))
+    follower._apply_rows((closed._replace(value=None, version=store.version),))
 
     assert not pool.vms["w1"].closed
 
@@ -91,10 +91,10 @@
 ):
     """Whoever waits for a closing to be known may know it by a later version."""
     close(store, "w1")
-    await follower._read_all()
+    await follower._read_snapshot()
     store.put("other", "", "row", b"")
 
-    follower._note(store.version)
+    follower._on_version(store.version)
 
     assert pool.closings_version == store.version
 
@@ -102,7 +102,7 @@
 async def test_a_board_tells_at_which_version_a_vm_was_empty(pool, follower, store):
     one = pool.vms["w1"]
     close(store, "w1")
-    await follower._read_all()
+    await follower._read_snapshot()
     one.reconciled = True
 
     made = board.make_board(pool, 0, need.compute_need([], 0, 0.0))
--- a/wigeonhitch/site/tests/test_contact.py
+++ b/wigeonhitch/site/tests/test_connectivity.py
@@ -4,7 +4,7 @@
 
 from standins import rowstore
 from wigeonhitch.platform import http, rows, table
-from wigeonhitch.site import contact
+from wigeonhitch.site import connectivity
 
 pytestmark = pytest.mark.anyio
 
@@ -26,48 +26,48 @@
 
 
 async def test_a_daemon_that_makes_no_call_keeps_its_contact(store, clock):
-    one = contact.Contact(store)
+    one = connectivity.MonitoredStore(store)
     await read(one)
     clock[0] += 60.0
 
-    assert not one.is_lost()
+    assert not one.is_unreachable()
 
 
 async def test_the_store_is_lost_once_calls_have_failed_for_long(store, clock):
-    one = contact.Contact(store)
+    one = connectivity.MonitoredStore(store)
     await read(one)
     store.is_down = True
-    clock[0] += contact.LOST / 2
+    clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS / 2
     await read(one)
-    assert not one.is_lost()
+    assert not one.is_unreachable()
 
-    clock[0] += contact.LOST
+    clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS
     await read(one)
-    assert one.is_lost()
+    assert one.is_unreachable()
 
     store.is_down = False
     await read(one)
-    assert not one.is_lost()
+    assert not one.is_unreachable()
 
 
 async def test_a_refused_condition_is_an_answer(store, clock):
-    one = contact.Contact(store)
+    one = connectivity.MonitoredStore(store)
     store.put("t", "p", "k", b"")
-    clock[0] += contact.LOST
+    clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS
     condition = rows.Condition("t", "p", "k", 99)
 
     await one.commit(rows.Transaction((condition,), ()), timeout=1.0)
 
-    assert not one.is_lost()
+    assert not one.is_unreachable()
 
 
 async def test_a_call_from_before_an_outage_says_nothing_of_it(store, clock):
     """A feed was answered 1.5 s after it was sent, and the store was gone by then."""
-    one = contact.Contact(store)
+    one = connectivity.MonitoredStore(store)
     whole = store.follow
 
     async def follow(*given, **named):
-        clock[0] += contact.LOST
+        clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS
         store.is_down = True
         await read(one)
         clock[0] += 0.1
@@ -78,4 +78,4 @@
     answer = await one.follow("t", 0, wait=0.0, timeout=1.0)
 
     assert answer.outcome is table.Outcome.DONE
-    assert one.is_lost()
+    assert one.is_unreachable()
--- a/wigeonhitch/site/tests/test_desk.py
+++ b/wigeonhitch/site/tests/test_desk.py
@@ -10,7 +10,7 @@
 from wigeonhitch.platform import rows, table
 from wigeonhitch.pool import belief, core, tidy
 from wigeonhitch.pool import record as pool_record
-from wigeonhitch.site import catalogue, handler, message
+from wigeonhitch.site import configuration, handler, message
 from wigeonhitch.telemetry import metric
 
 pytestmark = pytest.mark.anyio
@@ -337,9 +337,11 @@
 
 async def test_a_configuration_never_goes_back(site):
     changes = []
-    follower = catalogue.Follower(site.store, lambda: changes.append(1))
+    follower = configuration.ConfigurationFollower(
+        site.store, lambda: changes.append(1)
+    )
     for version in (5, 7, 6, 7):
-        follower._take_catalogue(make_configuration(version))
+        follower._apply_catalogue(make_configuration(version))
 
     assert follower.catalogue.version == 7
     assert len(changes) == 2
@@ -350,12 +352,12 @@
 )
 async def test_a_queue_that_moves_keeps_the_jobs_of_its_former_pool(site, between):
     """It came back in another pool, and a repeated job was accepted there as well."""
-    follower = catalogue.Follower(site.store, lambda: None)
-    follower._take_catalogue(make_configuration(1))
+    follower = configuration.ConfigurationFollower(site.store, lambda: None)
+    follower._apply_catalogue(make_configuration(1))
     one = make_handler(site.store, follower)
     await one.submit(one.find_queue("h", "/q/j"), JOB)
-    for configuration in (*between, make_configuration(3, "other")):
-        follower._take_catalogue(configuration)
+    for value in (*between, make_configuration(3, "other")):
+        follower._apply_catalogue(value)
     moved = one.find_queue("h", "/q/j")
 
     answer = await one.submit(moved, JOB)
@@ -388,9 +390,9 @@
     """Make the handler of a daemon that has seen these configurations."""
 
     def make(*pools):
-        follower = catalogue.Follower(site.store, lambda: None)
+        follower = configuration.ConfigurationFollower(site.store, lambda: None)
         for number, pool in enumerate(pools, 9):
-            follower._take_catalogue(make_configuration(number, pool))
+            follower._apply_catalogue(make_configuration(number, pool))
         return make_handler(site.store, follower)
 
     return make
--- a/wigeonhitch/site/waiting.py
+++ b/wigeonhitch/site/waiting.py
@@ -1,4 +1,4 @@
-"""Counts the jobs of a queue that have not begun, in whichever pools they lie."""
+"""Counts the jobs of a queue that have not started, in all pools that hold some."""
 
 import anyio
 
@@ -7,14 +7,14 @@
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.site import jobrows
 
-__all__ = ["WaitingCounts"]
+__all__ = ["WaitingJobCounter"]
 
-LOOK_PERIOD = 10.0
-"""Seconds between looks for jobs that wait in former pools of their queue."""
+SCAN_PERIOD_SECONDS = 10.0
+"""Interval of scans for jobs that wait in former pools of their queue."""
 
 
-class WaitingCounts:
-    """Reads boards: that of a queue's pool, and those of others that hold its jobs.
+class WaitingJobCounter:
+    """Reads the boards of a queue's pool and of other pools that hold its jobs.
 
     Parameters
     ----------
@@ -24,44 +24,49 @@
 
     def __init__(self, store: rows.RowStore) -> None:
         self._store = store
-        self._queues: dict[str, frozenset[str]] = {}
-        """Queues of which jobs wait in each pool, as last read."""
-        self._looked: float | None = None
+        self._queues_by_pool: dict[str, frozenset[str]] = {}
+        """Names of the queues with waiting jobs in each pool, as last read."""
+        self._scanned_at: float | None = None
 
     async def count(self, queue: model.Queue) -> int | rows.Range:
-        """Return how many jobs wait, or the read of a board that failed."""
-        await self._look()
-        holding = (one for one, held in self._queues.items() if queue.name in held)
+        """Return how many jobs wait, or the failed read of a board."""
+        await self._scan_boards()
+        holding_pools = (
+            pool for pool, names in self._queues_by_pool.items() if queue.name in names
+        )
         total = 0
-        for pool in dict.fromkeys((queue.pool, *holding)):
-            read = await self._read(pool)
-            if read.outcome is not table.Outcome.DONE:
-                return read
-            for row in read.rows:
+        for pool in dict.fromkeys((queue.pool, *holding_pools)):
+            result = await self._read_board(pool)
+            if result.outcome is not table.Outcome.DONE:
+                return result
+            for row in result.rows:
                 board = pool_record.read_board(row.value or b"")
                 total += board.waiting.get(queue.name, 0)
         return total
 
-    async def _look(self) -> None:
-        """Read all boards, unless that was done not long ago."""
+    async def _scan_boards(self) -> None:
+        """Read all boards, unless the last scan is recent."""
         now = http.read_clock()
-        if self._looked is not None and now - self._looked < LOOK_PERIOD:
+        if (
+            self._scanned_at is not None
+            and now - self._scanned_at < SCAN_PERIOD_SECONDS
+        ):
             return
-        listed = await self._store.list_parts(
-            pool_record.BOARD_TABLE, timeout=jobrows.TIMEOUT
+        pools = await self._store.list_parts(
+            pool_record.BOARD_TABLE, timeout=jobrows.CALL_TIMEOUT_SECONDS
         )
-        if listed.names is None:
+        if pools.names is None:
             return
-        self._looked = now
+        self._scanned_at = now
         async with anyio.create_task_group() as group:
-            for pool in listed.names:
-                group.start_soon(self._read, pool)
+            for pool in pools.names:
+                group.start_soon(self._read_board, pool)
 
-    async def _read(self, pool: str) -> rows.Range:
-        read = await self._store.read(
-            pool_record.BOARD_TABLE, pool, timeout=jobrows.TIMEOUT
+    async def _read_board(self, pool: str) -> rows.Range:
+        result = await self._store.read(
+            pool_record.BOARD_TABLE, pool, timeout=jobrows.CALL_TIMEOUT_SECONDS
         )
-        for row in read.rows:
+        for row in result.rows:
             board = pool_record.read_board(row.value or b"")
-            self._queues[pool] = frozenset(board.waiting)
-        return read
+            self._queues_by_pool[pool] = frozenset(board.waiting)
+        return result
--- a/wigeonhitch/tests/test_feed.py
+++ b/wigeonhitch/tests/test_feed.py
@@ -20,7 +20,7 @@
         self.store.put("t", "a", "k", b"1")
         self.reads = 0
         self.taken = []
-        self.is_wanted = True
+        self.is_enabled = True
 
     async def read_all(self):
         self.reads += 1
@@ -32,7 +32,7 @@
 
     async def run(self):
         await feed.follow(
-            self.store, "t", self.read_all, self.take, TIMES, lambda: self.is_wanted
+            self.store, "t", self.read_all, self.take, TIMES, lambda: self.is_enabled
         )
 
 
@@ -81,9 +81,9 @@
 
 
 async def test_what_is_wanted_again_is_read_anew(reader):
-    reader.is_wanted = False
+    reader.is_enabled = False
     await anyio.sleep(0.1)
-    reader.is_wanted = True
+    reader.is_enabled = True
 
     await wait_for(lambda: reader.reads == 2)
 
--- a/wigeonhitch/verdict.py
+++ b/wigeonhitch/verdict.py
@@ -1,8 +1,8 @@
-"""What is known about whether a request ran.
+"""Verdicts on whether a request was executed.
 
-Every answer that leaves the daemon, and every answer that enters it from a
-worker or a peer, is reduced to one `Verdict`. Retries, idempotency records
-and the HTTP answer to the caller are all decided from it.
+Every answer that the daemon sends, and every answer that it receives from a
+worker or a peer, is reduced to one `Verdict`. Retries, idempotency records and
+the HTTP response to the caller are derived from it.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether the request was executed by a worker."""
+    """Whether a worker executed the request."""
 
     YES = "ran"
     NO = "not run"
@@ -20,7 +20,7 @@
 
 
 class Reason(enum.Enum):
-    """Why the verdict is what it is; sentinels, in place of exceptions."""
+    """Reason for a verdict; returned instead of raising an exception."""
 
     ANSWERED = "answered"
     QUEUE_FULL = "queue full"
@@ -46,17 +46,17 @@
 
 
 class Verdict(NamedTuple):
-    """Whether a request ran, and the reason.
+    """Whether a request ran, and why.
 
     Parameters
     ----------
     ran : Ran
-        ``Ran.NO`` is a promise: no worker ever executed the request and none
+        ``Ran.NO`` guarantees that no worker has executed the request or ever
         will.
     reason : Reason
-        The sentinel that explains it.
+        Why this verdict was reached.
     retry_after : float
-        Seconds after which the caller should come back; 0 when no time is
+        Seconds after which the caller should retry; 0 when no delay is
         advised.
     """
 
@@ -66,7 +66,7 @@
 
     @property
     def is_retriable(self) -> bool:
-        """Whether sending again cannot run the request twice."""
+        """Whether the request can be sent again without running twice."""
         return self.ran is Ran.NO
 
 
@@ -76,10 +76,10 @@
 
 
 def not_run(reason: Reason, retry_after: float = 0.0) -> Verdict:
-    """Return the verdict of a request that truly did not run."""
+    """Return the verdict of a request that certainly did not run."""
     return Verdict(Ran.NO, reason, retry_after)
 
 
 def may_have_run(reason: Reason, retry_after: float = 0.0) -> Verdict:
-    """Return the verdict of a request whose fate is not known."""
+    """Return the verdict of a request whose outcome is unknown."""
     return Verdict(Ran.MAYBE, reason, retry_after)
