--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -19,7 +19,9 @@
 
 def note_uncommitted_ends() -> None:
     """Tell workers that an end is noted before it is durable."""
-    vm.Vm.noted = property(lambda self: self.seen, lambda self, number: None)
+    vm.Vm.committed_end = property(
+        lambda self: self.processed_end, lambda self, number: None
+    )
 
 
 def skip_lapses() -> None:
@@ -72,11 +74,11 @@
 def claim_by_owner_alone() -> None:
     """Claim a pool also beside a lease that was renewed meanwhile."""
 
-    def expect_vacant(self: Any, pool: str) -> tuple[Any, ...]:
+    def build_claim_conditions(self: Any, pool: str) -> tuple[Any, ...]:
         owner = self.owners.get(pool)
         return (record.expect_owner(pool, owner.version if owner else 0),)
 
-    leadership.Leadership.expect_vacant = expect_vacant
+    leadership.Leadership.build_claim_conditions = build_claim_conditions
 
 
 def order_after_the_end() -> None:
--- a/wigeonhitch/maintenance/task.py
+++ b/wigeonhitch/maintenance/task.py
@@ -15,7 +15,7 @@
 from wigeonhitch.pool import record as pool_record
 from wigeonhitch.telemetry import log
 
-__all__ = ["Runner", "Surroundings"]
+__all__ = ["Runner", "Dependencies"]
 
 PERIOD = 0.3
 """Seconds between two rounds: a fifth of the time that a move takes."""
@@ -41,8 +41,8 @@
 """Seconds between two listings of the VMs while nothing is under way."""
 
 
-class Surroundings(NamedTuple):
-    """What the leader works with; see `wigeonhitch.pool.surroundings`.
+class Dependencies(NamedTuple):
+    """What the leader works with; see `wigeonhitch.pool.dependencies`.
 
     ``get_store_time`` returns a time that the store's clock hasn't passed;
     ``order_gap`` is for how long two leaders may not follow each other about a VM.
@@ -64,7 +64,7 @@
     """Leads moves and upkeep from the claim until it is given up or lost."""
 
     def __init__(
-        self, owner: leader_record.Owner, around: Surroundings, now: float
+        self, owner: leader_record.Owner, around: Dependencies, now: float
     ) -> None:
         self.owner = owner
         self._term = term.Term(around.may_order)
@@ -139,7 +139,7 @@
     async def _follow_boards(self) -> None:
         await feed.follow(
             self.around.store,
-            pool_record.BOARD_TABLE,
+            pool_record.STATUS_TABLE,
             self._read_boards,
             self._take_boards,
             feed.FollowTiming(BOARD_WAIT, BOARD_WAIT + TIMEOUT / 2, PERIOD),
@@ -152,7 +152,7 @@
 
     async def _read_board(self, pool: str) -> rows.Range:
         read = await self.around.store.read(
-            pool_record.BOARD_TABLE, pool, timeout=TIMEOUT
+            pool_record.STATUS_TABLE, pool, timeout=TIMEOUT
         )
         if read.outcome is table.Outcome.DONE:
             self._take_boards(read.rows)
@@ -161,7 +161,7 @@
     def _take_boards(self, found: tuple[rows.Row, ...]) -> None:
         for row in found:
             if row.value is not None:
-                self.state.boards[row.part] = pool_record.read_board(row.value)
+                self.state.boards[row.part] = pool_record.read_status(row.value)
                 self._wake.set()
 
     async def _commit(self, writes: list[rows.Write]) -> int:
--- a/wigeonhitch/pool/surroundings.py
+++ b/wigeonhitch/pool/dependencies.py
@@ -4,17 +4,17 @@
 from typing import NamedTuple
 
 from wigeonhitch.platform import advice, rows, workers
-from wigeonhitch.pool import belief
+from wigeonhitch.pool import view
 from wigeonhitch.telemetry import metric
 
-__all__ = ["Surroundings"]
+__all__ = ["Dependencies"]
 
 
-class Surroundings(NamedTuple):
+class Dependencies(NamedTuple):
     """What a leader works with.
 
     ``may_order`` says whether an order may be given at this moment;
-    ``get_renewed`` returns when it was last renewed; ``get_store_time`` the
+    ``get_last_renewal`` returns when it was last renewed; ``get_store_time`` the
     store's clock, in seconds.
     """
 
@@ -23,7 +23,7 @@
     advice: advice.AdviceCalls
     instruments: metric.Instruments
     may_order: Callable[[], bool]
-    get_renewed: Callable[[], float]
+    get_last_renewal: Callable[[], float]
     get_store_time: Callable[[], float]
-    finals_kept: float
-    times: belief.Times
+    final_retention: float
+    times: view.TimeBounds
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -15,7 +15,7 @@
 from wigeonhitch.jobs import model, record
 from wigeonhitch.leadership import record as leader_record
 from wigeonhitch.platform import entries, rows, table, workers
-from wigeonhitch.pool import belief, caller, core, message, planner, tidy
+from wigeonhitch.pool import compaction, core, dispatcher, message, planner, view
 from wigeonhitch.pool import record as pool_record
 
 POOL = "pool"
@@ -23,8 +23,8 @@
 ROOM = model.Room(8000, 65536, 0)
 STEP_CPU = (2500, 3000)
 """Thousandths of a core that a task of each step takes."""
-PLACE = tidy.JobPlace("job", POOL)
-START_DEADLINE = caller.START_DEADLINE
+PLACE = compaction.RowLocation("job", POOL)
+START_DEADLINE = dispatcher.START_DEADLINE
 
 
 class Switches(NamedTuple):
@@ -92,8 +92,8 @@
             fence = 1
         if not world.switches.rising_numbers:
             epoch = 1
-        longest = caller.LONG_LEASE if world.switches.wait_after_takeover else 0.0
-        times = belief.Times(longest, 0.0)
+        longest = dispatcher.OUTAGE_LEASE if world.switches.wait_after_takeover else 0.0
+        times = view.TimeBounds(longest, 0.0)
         self.pool = core.Pool(POOL, fence, epoch, times, world.now, lambda *a, **k: 0)
         self.pool.ledger.fence = done.version
         self.pool.on_queues([model.Queue("q", "h", "/p/", POOL, max_attempts=3)])
@@ -135,7 +135,7 @@
         if not self.world.switches.lapse_before_restart:
             for one in self.pool.vms.values():
                 if one.is_silent:
-                    one.granted = 0.0
+                    one.lease_deadline = 0.0
         for order in self.planner.plan(now, now):
             if isinstance(order, message.Start):
                 self._send_start(order)
@@ -150,7 +150,9 @@
         run = start.run
         length = START_DEADLINE if self.world.switches.own_deadline else 60.0
         run.deadline = run.vm.compute_deadline(self.world.now, length)
-        run.vm.note_grant(run.deadline if self.world.switches.own_deadline else 0.0)
+        run.vm.record_lease_deadline(
+            run.deadline if self.world.switches.own_deadline else 0.0
+        )
         order = start.order._replace(deadline=run.deadline)
         if not self.world.switches.own_deadline:
             run.deadline = run.vm.compute_clock(self.world.now)
@@ -160,10 +162,14 @@
         now = self.world.now
         deadline = None
         if one.knows_clock and not one.is_silent:
-            deadline = one.compute_deadline(now, caller.WORKER_LEASE)
-            one.note_grant(deadline)
+            deadline = one.compute_deadline(now, dispatcher.WORKER_LEASE)
+            one.record_lease_deadline(deadline)
         self.next_hold[one.id] = now + 1.0
-        noted = one.noted if self.world.switches.commit_before_noting else one.seen
+        noted = (
+            one.committed_end
+            if self.world.switches.commit_before_noting
+            else one.processed_end
+        )
         self.world.send_hold(self, one, deadline, noted)
 
     def _commit(self) -> None:
@@ -171,7 +177,7 @@
             return
         batch = self.pool.ledger.collect(self.pool.jobs, self.pool.vms)
         if not batch.transaction.writes:
-            self._note(batch.seen)
+            self._note(batch.processed_ends)
             return
         self.committing = True
         self.world.send_commit(self, batch)
@@ -186,13 +192,13 @@
         for id in batch.vms:
             if id in self.pool.vms:
                 self.pool.vms[id].recorded = True
-        self.pool.on_settled(batch.finals)
-        self._note(batch.seen)
+        self.pool.on_finals_durable(batch.finals)
+        self._note(batch.processed_ends)
 
     def _note(self, seen: dict[str, int]) -> None:
         for id, number in seen.items():
             if id in self.pool.vms:
-                self.pool.vms[id].noted = number
+                self.pool.vms[id].committed_end = number
 
 
 class World:
--- a/wigeonhitch/site/acceptance.py
+++ b/wigeonhitch/site/acceptance.py
@@ -87,13 +87,13 @@
         is_advised=queue.advice is not None,
         terms=model.Terms(queue.priority, queue.stretch, queue.objective),
     )
-    location = (pool_record.name_job_part(job.id), job.id)
+    location = (pool_record.get_job_part(job.id), job.id)
     no_holder = rows.Condition(pool_record.HOLDER_TABLE, *location, 0)
     value = record.write_job(stored_job, queue.pool, time.time())
     return rows.Transaction(
         (no_holder,),
         (
             rows.Write(*no_holder[:3], queue.pool.encode()),
-            rows.Write(pool_record.name_job_table(queue.pool), *location, value),
+            rows.Write(pool_record.get_job_table(queue.pool), *location, value),
         ),
     )
--- a/wigeonhitch/site/handler.py
+++ b/wigeonhitch/site/handler.py
@@ -198,7 +198,7 @@
         if row.value is not None:
             final = record.read_final(row.value)
             if final is not None:
-                return progress.choose_final(final, row.version, cancelled_at)
+                return progress.resolve_final_state(final, row.version, cancelled_at)
     if stored.parsed.cancelled:
         return model.JobState.CANCELLED
     return model.JobState.RUNNING if progress_rows else model.JobState.QUEUED
--- a/wigeonhitch/site/jobrows.py
+++ b/wigeonhitch/site/jobrows.py
@@ -33,12 +33,12 @@
 
     async def read(self, pool: str, id: str) -> rows.Range:
         """Read the row of a job in a pool's table."""
-        table_name = pool_record.name_job_table(pool)
-        return await self._read_row(table_name, pool_record.name_job_part(id), id)
+        table_name = pool_record.get_job_table(pool)
+        return await self._read_row(table_name, pool_record.get_job_part(id), id)
 
     async def read_holder(self, id: str) -> rows.Range:
         """Read the row that names the pool of a job; its value is the pool."""
-        part = pool_record.name_job_part(id)
+        part = pool_record.get_job_part(id)
         return await self._read_row(pool_record.HOLDER_TABLE, part, id)
 
     async def read_progress(self, pool: str, id: str) -> rows.Range:
--- a/wigeonhitch/site/waiting.py
+++ b/wigeonhitch/site/waiting.py
@@ -14,7 +14,7 @@
 
 
 class WaitingJobCounter:
-    """Reads the boards of a queue's pool and of other pools that hold its jobs.
+    """Reads the status of a queue's pool and of the other pools that hold its jobs.
 
     Parameters
     ----------
@@ -29,23 +29,23 @@
         self._scanned_at: float | None = None
 
     async def count(self, queue: model.Queue) -> int | rows.Range:
-        """Return how many jobs wait, or the failed read of a board."""
-        await self._scan_boards()
+        """Return how many jobs wait, or the failed read of a pool's status."""
+        await self._scan_statuses()
         holding_pools = (
             pool for pool, names in self._queues_by_pool.items() if queue.name in names
         )
         total = 0
         for pool in dict.fromkeys((queue.pool, *holding_pools)):
-            result = await self._read_board(pool)
+            result = await self._read_status(pool)
             if result.outcome is not table.Outcome.DONE:
                 return result
             for row in result.rows:
-                board = pool_record.read_board(row.value or b"")
-                total += board.waiting.get(queue.name, 0)
+                status = pool_record.read_status(row.value or b"")
+                total += status.waiting.get(queue.name, 0)
         return total
 
-    async def _scan_boards(self) -> None:
-        """Read all boards, unless the last scan is recent."""
+    async def _scan_statuses(self) -> None:
+        """Read the status of each pool, unless the last scan is recent."""
         now = http.read_clock()
         if (
             self._scanned_at is not None
@@ -53,20 +53,20 @@
         ):
             return
         pools = await self._store.list_parts(
-            pool_record.BOARD_TABLE, timeout=jobrows.CALL_TIMEOUT_SECONDS
+            pool_record.STATUS_TABLE, timeout=jobrows.CALL_TIMEOUT_SECONDS
         )
         if pools.names is None:
             return
         self._scanned_at = now
         async with anyio.create_task_group() as group:
             for pool in pools.names:
-                group.start_soon(self._read_board, pool)
+                group.start_soon(self._read_status, pool)
 
-    async def _read_board(self, pool: str) -> rows.Range:
+    async def _read_status(self, pool: str) -> rows.Range:
         result = await self._store.read(
-            pool_record.BOARD_TABLE, pool, timeout=jobrows.CALL_TIMEOUT_SECONDS
+            pool_record.STATUS_TABLE, pool, timeout=jobrows.CALL_TIMEOUT_SECONDS
         )
         for row in result.rows:
-            board = pool_record.read_board(row.value or b"")
-            self._queues_by_pool[pool] = frozenset(board.waiting)
+            status = pool_record.read_status(row.value or b"")
+            self._queues_by_pool[pool] = frozenset(status.waiting)
         return result
