--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of a site, put together from its parts; nothing is decided here."""
+"""Assembles one daemon of a site from its components; contains no decision logic."""
 
 import anyio
 import anyio.abc
@@ -6,7 +6,7 @@
 from wigeonhitch.jobs import model
 from wigeonhitch.leadership import core as leadership
 from wigeonhitch.leadership import record as leader_record
-from wigeonhitch.leadership import task as keeper
+from wigeonhitch.leadership import task as election
 from wigeonhitch.maintenance import record as maintenance
 from wigeonhitch.maintenance import task as fleet_task
 from wigeonhitch.platform import advice, fleet, http, node, rows, workers
@@ -26,14 +26,14 @@
 
 
 class Daemon:
-    """All parts of one daemon.
+    """All components of one daemon.
 
     Parameters
     ----------
     settings : node.NodeSettings
-        What the platform says of this process.
+        Settings that the platform gives this process.
     life : str
-        Differs for each start of the process.
+        Unique id of this start of the process.
     """
 
     def __init__(
@@ -49,17 +49,17 @@
         self.settings = settings
         self.instruments = instruments
         self.stopped = anyio.Event()
-        self._contact = self._store = store = connectivity.MonitoredStore(store)
+        self._monitored_store = self._store = store = connectivity.MonitoredStore(store)
         self._calls = calls
         self._advice_calls = advice_calls
         self._fleet_calls = fleet_calls
         self._fleet_runner: fleet_task.Runner | None = None
         self._group: anyio.abc.TaskGroup | None = None
         self._runners: dict[str, pool_runner.Runner] = {}
-        self._follower = configuration.ConfigurationFollower(
+        self._configuration = configuration.ConfigurationFollower(
             store, self._on_catalogue, settings.bounds.configuration
         )
-        self._directory = registry.WorkerRegistry(
+        self._registry = registry.WorkerRegistry(
             store, lambda: bool(self._runners), self._on_worker, self._on_removed
         )
         self._closings = closings.ClosingFollower(
@@ -72,27 +72,27 @@
             settings.cores,
             settings.rates.across,
         )
-        self._keeper = keeper.LeaderElector(
+        self._elector = election.LeaderElector(
             self._leadership,
             store,
             self._list_pools,
-            self._on_led,
-            self._on_lost,
-            self._get_granted,
+            self._on_leadership_gained,
+            self._on_leadership_lost,
+            self._get_max_granted_lease,
         )
         self.handler = handler.RequestHandler(
             store,
-            lambda: self._follower.catalogue,
+            lambda: self._configuration.catalogue,
             instruments,
-            self._contact.is_unreachable,
+            self._monitored_store.is_unreachable,
         )
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
-        if self.stopped.is_set() or self._follower.catalogue is None:
+        """Whether this daemon accepts new connections."""
+        if self.stopped.is_set() or self._configuration.catalogue is None:
             return False
-        return not self._contact.is_unreachable()
+        return not self._monitored_store.is_unreachable()
 
     @property
     def is_stopping(self) -> bool:
@@ -100,40 +100,40 @@
         return self.stopped.is_set()
 
     async def run(self) -> None:
-        """Run all parts until cancelled, once the store has rows of this layout."""
+        """Run all components until cancelled, once the store has this layout."""
         await layout.await_layout(self._store)
         async with anyio.create_task_group() as group:
             self._group = group
-            group.start_soon(self._follower.run)
-            group.start_soon(self._directory.run)
+            group.start_soon(self._configuration.run)
+            group.start_soon(self._registry.run)
             group.start_soon(self._closings.run)
-            group.start_soon(self._keeper.run)
+            group.start_soon(self._elector.run)
 
     async def leave(self) -> None:
-        """Give up what this daemon leads."""
+        """Give up all leaderships that this daemon holds."""
         with anyio.move_on_after(1.5):
-            await self._keeper.leave()
+            await self._elector.leave()
 
     # -- events
 
     def _list_pools(self) -> list[str]:
-        found = self._follower.catalogue
-        if found is None:
+        catalogue = self._configuration.catalogue
+        if catalogue is None:
             return []
-        pools = [one.name for one in found.pools if not one.standby]
+        pools = [pool.name for pool in catalogue.pools if not pool.standby]
         return [*pools, leadership.FLEET]
 
     def _get_queues(self) -> tuple[model.Queue, ...]:
-        found = self._follower.catalogue
-        return found.queues if found else ()
+        catalogue = self._configuration.catalogue
+        return catalogue.queues if catalogue else ()
 
     def _on_catalogue(self) -> None:
         for runner in self._runners.values():
             runner.on_queues(self._get_queues())
 
-    def _on_worker(self, listed: registry.RegisteredWorker) -> None:
+    def _on_worker(self, worker: registry.RegisteredWorker) -> None:
         for runner in self._runners.values():
-            runner.on_worker(listed.entry, listed.read_at)
+            runner.on_worker(worker.entry, worker.read_at)
 
     def _on_removed(self, id: str) -> None:
         for runner in self._runners.values():
@@ -143,27 +143,27 @@
         for runner in self._runners.values():
             runner.set_closings(closed, version)
 
-    def _on_led(self, owner: leader_record.Owner) -> None:
+    def _on_leadership_gained(self, owner: leader_record.Owner) -> None:
         if self._group is None:
             return
-        self._on_lost(owner.pool)
+        self._on_leadership_lost(owner.pool)
         if owner.pool == leadership.FLEET:
             self._fleet_runner = self._make_fleet_runner(owner)
-            self._group.start_soon(self._lead_fleet, self._fleet_runner)
+            self._group.start_soon(self._run_fleet_leader, self._fleet_runner)
             return
-        around = self._make_surroundings(owner.granted)
-        runner = pool_runner.Runner(owner, around, http.read_clock())
+        pool_dependencies = self._build_pool_dependencies(owner.granted)
+        runner = pool_runner.Runner(owner, pool_dependencies, http.read_clock())
         runner.on_queues(self._get_queues())
         self._runners[owner.pool] = runner
-        for listed in self._directory.workers.values():
-            runner.on_worker(listed.entry, listed.read_at)
-        self._group.start_soon(self._lead, runner)
+        for worker in self._registry.workers.values():
+            runner.on_worker(worker.entry, worker.read_at)
+        self._group.start_soon(self._run_pool_leader, runner)
 
-    def _get_granted(self, pool: str) -> float:
+    def _get_max_granted_lease(self, pool: str) -> float:
         runner = self._runners.get(pool)
         return runner.compute_max_granted_lease() if runner is not None else 0.0
 
-    def _on_lost(self, pool: str) -> None:
+    def _on_leadership_lost(self, pool: str) -> None:
         if pool == leadership.FLEET and self._fleet_runner is not None:
             self._fleet_runner.stop()
             self._fleet_runner = None
@@ -171,62 +171,64 @@
         if runner is not None:
             runner.stop()
 
-    async def _lead(self, runner: pool_runner.Runner) -> None:
+    async def _run_pool_leader(self, runner: pool_runner.Runner) -> None:
         pool = runner.owner.pool
         try:
             await runner.run()
         except Exception:
-            log.log_fault("leading broke off", pool=pool)
+            log.log_fault("pool leader task failed", pool=pool)
         if self._runners.get(pool) is not runner:
             return
-        log.log_change("leading ended", pool=pool, deposed=runner.pool.deposed)
+        log.log_change("pool leader task ended", pool=pool, deposed=runner.pool.deposed)
         if self._leadership.is_leader(pool):
-            await self._keeper.give_up(pool)
+            await self._elector.give_up(pool)
         else:
-            self._on_lost(pool)
+            self._on_leadership_lost(pool)
 
-    async def _lead_fleet(self, runner: fleet_task.Runner) -> None:
+    async def _run_fleet_leader(self, runner: fleet_task.Runner) -> None:
         try:
             await runner.run()
         except Exception:
-            log.log_fault("leading the fleet broke off")
+            log.log_fault("fleet leader task failed")
         if self._fleet_runner is not runner:
             return
         self._fleet_runner = None
-        log.log_change("leading the fleet ended", deposed=runner.deposed)
+        log.log_change("fleet leader task ended", deposed=runner.deposed)
         if self._leadership.is_leader(leadership.FLEET):
-            await self._keeper.give_up(leadership.FLEET)
+            await self._elector.give_up(leadership.FLEET)
 
     def _make_fleet_runner(self, owner: leader_record.Owner) -> fleet_task.Runner:
         bounds = self.settings.bounds
-        around = fleet_task.Dependencies(
+        fleet_dependencies = fleet_task.Dependencies(
             self._store,
             self._fleet_calls,
-            self._keeper.may_order,
-            lambda: self._follower.catalogue,
-            lambda: self._follower.wave_orders,
+            self._elector.may_order,
+            lambda: self._configuration.catalogue,
+            lambda: self._configuration.wave_orders,
             lambda: self._leadership.clock.compute_latest(http.read_clock()),
             self.settings.name,
             bounds.order_gap,
             bounds.upkeep,
             self.settings.orders_per_second,
         )
-        return fleet_task.Runner(owner, around, http.read_clock())
+        return fleet_task.Runner(owner, fleet_dependencies, http.read_clock())
 
-    def _make_surroundings(self, granted: float) -> dependencies.Dependencies:
+    def _build_pool_dependencies(
+        self, granted_lease: float
+    ) -> dependencies.Dependencies:
         bounds = self.settings.bounds
-        longest = min(dispatcher.OUTAGE_LEASE, bounds.longest_lease)
+        max_lease = min(dispatcher.OUTAGE_LEASE, bounds.longest_lease)
         return dependencies.Dependencies(
             self._store,
             self._calls,
             self._advice_calls,
             self.instruments,
-            self._keeper.may_order,
-            lambda: self._keeper.last_renewed_at,
+            self._elector.may_order,
+            lambda: self._elector.last_renewed_at,
             lambda: self._leadership.clock.compute_earliest(http.read_clock()),
             bounds.finals_kept,
             view.TimeBounds(
-                granted or longest,
+                granted_lease or max_lease,
                 bounds.stop_grace,
                 not self.settings.rates.across,
                 bounds.move,
--- a/wigeonhitch/site/tests/test_daemon.py
+++ b/wigeonhitch/site/tests/test_daemon.py
@@ -61,7 +61,7 @@
         await site.submit(leader, "j0")
         await anyio.sleep(0.1)
         site.configure("other")
-        await site.wait_for(lambda: leader._follower.catalogue.version == 2)
+        await site.wait_for(lambda: leader._configuration.catalogue.version == 2)
         site.kill(leader)
         if not is_restarted:
             (other,) = [one for one in ones if one is not leader]
--- a/wigeonhitch/site/tests/test_two_leaders.py
+++ b/wigeonhitch/site/tests/test_two_leaders.py
@@ -67,7 +67,7 @@
         link.is_cut = True
         await site.wait_for(lambda: leads(other))
         link.is_cut = False
-        await site.wait_for(leader._keeper.may_order)
+        await site.wait_for(leader._elector.may_order)
         await site.submit(other, "j0")
         await site.wait_until(other, ["j0"])
 
@@ -125,7 +125,7 @@
         await anyio.sleep(pool_runner.MIN_ROUND_INTERVAL * 3)
         runner.pool.on_job("j0", row, site.store.version + 1, place)
         runner.on_queues(one._get_queues())
-        one._on_lost("p")
+        one._on_leadership_lost("p")
         await anyio.sleep(0.2)
 
     assert site.count_starts() == 0
