--- a/wigeonhitch/site/tests/conftest.py
+++ b/wigeonhitch/site/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Whole daemons in process, on a store and workers in process."""
+"""Whole daemons in process, on an in-process store and workers."""
 
 import collections
 import contextlib
@@ -15,8 +15,8 @@
 from wigeonhitch.telemetry import metric
 
 
-class Calls:
-    """Workers in process behind `workers.WorkerCalls`."""
+class InProcessWorkers:
+    """Implements `workers.WorkerCalls` on in-process workers."""
 
     def __init__(self):
         self.events = []
@@ -28,17 +28,17 @@
         )
 
     async def run(self):
-        """Let tasks end in time, also on workers that nobody calls."""
+        """Advance all workers, so that tasks end also on workers that aren't called."""
         while True:
-            for one in self.workers.values():
-                one.advance(http.read_clock())
+            for worker in self.workers.values():
+                worker.advance(http.read_clock())
             await anyio.sleep(0.01)
 
     async def start(self, address, worker, order, *, timeout):
-        """Carry out a start; its bytes leave before the call first waits."""
+        """Start a task; the request is sent before the call first waits."""
         now = http.read_clock()
-        one = self.workers[worker]
-        verdict, clock = one.start(order, now), one.read_clock(now)
+        simulated = self.workers[worker]
+        verdict, clock = simulated.start(order, now), simulated.read_clock(now)
         await anyio.sleep(0.001)
         return workers.OrderReply(verdict, clock, now, http.read_clock())
 
@@ -51,49 +51,51 @@
         return workers.OrderReply(workers.Verdict.DONE)
 
     async def hold(self, address, worker, fence, deadline, last_seen, *, wait, timeout):
-        sent = http.read_clock()
+        sent_at = http.read_clock()
         await anyio.sleep(min(wait, 0.05))
         now = http.read_clock()
-        one = self.workers[worker]
-        one.advance(now)
-        found = one.hold(fence, deadline, last_seen, now)
-        return workers.HoldReply(found[0], one.read_clock(now), sent, now, *found[1:])
+        simulated = self.workers[worker]
+        simulated.advance(now)
+        held = simulated.hold(fence, deadline, last_seen, now)
+        return workers.HoldReply(
+            held[0], simulated.read_clock(now), sent_at, now, *held[1:]
+        )
 
 
-class Reach:
-    """One daemon's calls to workers: those in ``cut`` don't answer it."""
+class WorkerReachability:
+    """One daemon's calls to workers; those in ``unreachable`` don't answer."""
 
     def __init__(self, calls):
-        self.cut = set()
+        self.unreachable = set()
         self._calls = calls
 
     async def start(self, address, worker, order, *, timeout):
-        if worker in self.cut:
-            return await self._lose(workers.OrderReply)
+        if worker in self.unreachable:
+            return await self._time_out(workers.OrderReply)
         return await self._calls.start(address, worker, order, timeout=timeout)
 
-    async def stop(self, address, worker, *given, timeout):
-        if worker in self.cut:
-            return await self._lose(workers.OrderReply)
-        return await self._calls.stop(address, worker, *given, timeout=timeout)
+    async def stop(self, address, worker, *args, timeout):
+        if worker in self.unreachable:
+            return await self._time_out(workers.OrderReply)
+        return await self._calls.stop(address, worker, *args, timeout=timeout)
 
-    async def pace(self, address, worker, *given, timeout):
-        return await self._calls.pace(address, worker, *given, timeout=timeout)
+    async def pace(self, address, worker, *args, timeout):
+        return await self._calls.pace(address, worker, *args, timeout=timeout)
 
-    async def hold(self, address, worker, *given, wait, timeout):
-        if worker in self.cut:
-            return await self._lose(workers.HoldReply)
+    async def hold(self, address, worker, *args, wait, timeout):
+        if worker in self.unreachable:
+            return await self._time_out(workers.HoldReply)
         return await self._calls.hold(
-            address, worker, *given, wait=wait, timeout=timeout
+            address, worker, *args, wait=wait, timeout=timeout
         )
 
-    async def _lose(self, kind):
+    async def _time_out(self, reply_type):
         await anyio.sleep(0.02)
-        return kind(workers.Verdict.UNKNOWN)
+        return reply_type(workers.Verdict.UNKNOWN)
 
 
-class Vms:
-    """No VMs to move or maintain."""
+class EmptyFleet:
+    """A fleet without VMs to move or maintain."""
 
     async def list_vms(self, *, timeout):
         return fleet.Listing(())
@@ -124,17 +126,17 @@
 
 @pytest.fixture
 def store():
-    made = rowstore.RowStore()
+    store = rowstore.RowStore()
     configuration = orjson.dumps(CONFIGURATION)
-    made.put(entries.OPERATOR_TABLE, "", entries.CATALOGUE_KEY, configuration)
-    return made
+    store.put(entries.OPERATOR_TABLE, "", entries.CATALOGUE_KEY, configuration)
+    return store
 
 
 @pytest.fixture
 def calls(store):
-    made = Calls()
+    calls = InProcessWorkers()
     for id in ("w1", "w2"):
-        made.add(id)
+        calls.add(id)
         entry = {
             "service": "p",
             "address": f"{id}:1",
@@ -143,14 +145,14 @@
             "labels": ["a", "r1"],
         }
         store.put(entries.WORKER_TABLE, "", id, orjson.dumps(entry))
-    return made
+    return calls
 
 
 def make_daemon(name, store, calls, *, across=True):
     settings = make_settings(name, across=across)
     instruments = metric.Instruments()
     return daemon.Daemon(
-        settings, f"life-{name}", store, calls, None, Vms(), instruments
+        settings, f"life-{name}", store, calls, None, EmptyFleet(), instruments
     )
 
 
@@ -167,13 +169,13 @@
         self.store = store
         self.calls = calls
         self.links = collections.defaultdict(lambda: storelink.StoreLink(store))
-        self.reach = collections.defaultdict(lambda: Reach(calls))
+        self.reachability = collections.defaultdict(lambda: WorkerReachability(calls))
         self.across = True
         self.group = None
         self._scopes = {}
 
     def configure(self, pool):
-        """Have the queue's jobs run by another pool, in place of its present one."""
+        """Move the queue to another pool, which replaces the current one."""
         route = {**CONFIGURATION["routes"][0], "service": pool}
         changed = {"version": 2, "routes": [route], "services": [{"name": pool}]}
         value = orjson.dumps(changed)
@@ -181,33 +183,33 @@
 
     @contextlib.asynccontextmanager
     async def run(self, names, pool="p"):
-        """Run daemons from the moment that one leads a pool until the block ends."""
+        """Run daemons; the block starts once one of them leads the pool."""
         async with anyio.create_task_group() as group:
             self.group = group
             group.start_soon(self.calls.run)
-            ones = [self.start(one) for one in names]
-            await self.wait_for(lambda: self.find_leader(ones, pool) is not None)
-            yield ones
+            daemons = [self.start(name) for name in names]
+            await self.wait_for(lambda: self.find_leader(daemons, pool) is not None)
+            yield daemons
             group.cancel_scope.cancel()
 
     def start(self, name):
-        """Start one more daemon beside those that run."""
-        link, reach = self.links[name], self.reach[name]
-        made = make_daemon(name, link, reach, across=self.across)
-        self.group.start_soon(self._run_one, made)
-        return made
+        """Start another daemon."""
+        link, reachability = self.links[name], self.reachability[name]
+        site_daemon = make_daemon(name, link, reachability, across=self.across)
+        self.group.start_soon(self._run_daemon, site_daemon)
+        return site_daemon
 
-    async def _run_one(self, one):
-        with anyio.CancelScope() as self._scopes[one]:
-            await one.run()
+    async def _run_daemon(self, site_daemon):
+        with anyio.CancelScope() as self._scopes[site_daemon]:
+            await site_daemon.run()
 
-    def kill(self, one):
-        """End a daemon without a word."""
-        self._scopes[one].cancel()
+    def kill(self, site_daemon):
+        """Stop a daemon without a shutdown."""
+        self._scopes[site_daemon].cancel()
 
     @staticmethod
     def find_leader(daemons, pool="p"):
-        return next((one for one in daemons if pool in one._runners), None)
+        return next((daemon for daemon in daemons if pool in daemon._runners), None)
 
     @staticmethod
     async def wait_for(condition):
@@ -216,17 +218,17 @@
                 await anyio.sleep(0.02)
 
     @staticmethod
-    async def submit(one, id):
-        queue = one.handler.find_queue("h", "/q/j")
-        answer = await one.handler.submit(queue, model.Job(id, "q", "", STEPS))
+    async def submit(site_daemon, id):
+        queue = site_daemon.handler.find_queue("h", "/q/j")
+        answer = await site_daemon.handler.submit(queue, model.Job(id, "q", "", STEPS))
         assert answer.verdict is message.Verdict.ACCEPTED
 
     @staticmethod
-    async def wait_until(one, ids, state=model.JobState.COMPLETED):
-        queue = one.handler.find_queue("h", "/q/j")
+    async def wait_until(site_daemon, ids, state=model.JobState.COMPLETED):
+        queue = site_daemon.handler.find_queue("h", "/q/j")
         with anyio.fail_after(20):
             for id in ids:
-                while (await one.handler.show(queue, id)).state is not state:
+                while (await site_daemon.handler.show(queue, id)).state is not state:
                     await anyio.sleep(0.05)
 
     def count_starts(self):
--- a/wigeonhitch/site/tests/history.py
+++ b/wigeonhitch/site/tests/history.py
@@ -1,9 +1,9 @@
 """Histories of jobs that are submitted, shown and cancelled while their queue moves.
 
-Plays the real request handlers of several daemons on simulated time: a queue moves
-among pools, daemons follow late and restart with the newest configuration or the one
-before, calls are lost, slow or carried out seconds late, and final jobs are tidied
-away.
+Runs the real request handlers of several daemons in simulated time: a queue moves
+among pools, daemons apply configurations late and restart with the newest one or the
+one before, calls are lost, slow or carried out seconds late, and final jobs are
+compacted and removed.
 """
 
 import contextlib
@@ -22,15 +22,15 @@
 from wigeonhitch.site import acceptance, configuration, handler, jobrows, message
 from wigeonhitch.telemetry import log, metric
 
-DAEMONS = 4
+DAEMON_COUNT = 4
 
-JOBS = 12
+JOB_COUNT = 12
 
-KEPT = 20.0
-"""Seconds for which final rows are kept: far longer than a call may be late."""
+RETENTION_SECONDS = 20.0
+"""Seconds for which final rows are kept, far longer than a call may be late."""
 
-LATE = (0.5, 6.0)
-"""Seconds after which a call without an answer may be carried out."""
+LATE_SECONDS = (0.5, 6.0)
+"""Range of the seconds after which a call without an answer may be carried out."""
 
 STEPS = (model.Step(1, model.Room(1000, 10)),)
 
@@ -40,10 +40,10 @@
 
 
 class Plan(NamedTuple):
-    """What a history holds."""
+    """Parameters of a history."""
 
     pools: int = 4
-    moves: float = 1.5
+    move_interval: float = 1.5
     """Mean seconds between two configurations."""
 
 
@@ -53,25 +53,25 @@
     def __init__(self, id: str) -> None:
         self.id = id
         self.verdicts: list[message.Verdict] = []
-        self.tries = 0
+        self.attempts = 0
         self.is_accepted = False
         self.is_cancelled = False
-        """Whether its cancelling was asked for."""
+        """Whether its cancellation was requested."""
         self.shown: model.JobState | None = None
         self.pools: set[str] = set()
-        """Pools in which a row of it has been written."""
+        """Pools in which a row of the job has been written."""
 
 
-class Life(simulation.Process):
-    """One life of a daemon, as far as it answers callers."""
+class DaemonIncarnation(simulation.Process):
+    """One incarnation of a daemon, limited to answering callers."""
 
-    def __init__(self, world: "World", newest: list[bytes]) -> None:
+    def __init__(self, world: "World", configurations: list[bytes]) -> None:
         self.clock_offset = world.rng.uniform(0.0, 1000.0)
         self.follower = configuration.ConfigurationFollower(
             simulation.StoreClient(), lambda: None
         )
-        for one in newest:
-            self.follower._apply_catalogue(one)
+        for value in configurations:
+            self.follower._apply_catalogue(value)
         self.handler = handler.RequestHandler(
             simulation.StoreClient(),
             lambda: self.follower.catalogue,
@@ -80,133 +80,141 @@
 
 
 class World(simulation.Schedule):
-    """Callers, daemons, the store, and what tidies each pool's final jobs."""
+    """Callers, daemons, the store, and the leaders that compact final jobs."""
 
-    def __init__(self, seed: int, plan: Plan | None = None, off: str = "") -> None:
+    def __init__(self, seed: int, plan: Plan | None = None, disabled: str = "") -> None:
         super().__init__(seed)
         self.plan = plan or Plan()
-        self.off = off
-        self.faults: list[str] = []
-        self.jobs = {f"j{number}": Job(f"j{number}") for number in range(JOBS)}
-        self._has_trouble = True
+        self.disabled = disabled
+        self.violations: list[str] = []
+        self.jobs = {f"j{number}": Job(f"j{number}") for number in range(JOB_COUNT)}
+        self._has_faults = True
         self._versions = [self._write_configuration(1)]
-        self._lives = [Life(self, self._versions) for _ in range(DAEMONS)]
+        self._daemons = [
+            DaemonIncarnation(self, self._versions) for _ in range(DAEMON_COUNT)
+        ]
         self._leaders: list[simulation.Process] = []
 
-    def play(self, seconds: float) -> list[str]:
-        """Play a history to its end; return what went wrong."""
-        with self._replace():
-            self._succeed_leaders()
+    def run(self, seconds: float) -> list[str]:
+        """Run a history to its end; return the violations."""
+        with self._patch_modules():
+            self._replace_leaders()
             for job in self.jobs.values():
-                self.call_later(self.rng.uniform(0.0, seconds / 2), self._bring(job))
-            self.call_later(1.0, self._move)
-            self.call_later(1.0, self._restart)
+                self.call_later(
+                    self.rng.uniform(0.0, seconds / 2), self._start_caller(job)
+                )
+            self.call_later(1.0, self._move_queue)
+            self.call_later(1.0, self._restart_daemon)
             self.run_until(self.now + seconds)
-            self._has_trouble = False
-            self.call_later(LATE[1], self._succeed_leaders)
-            # What was late is done, and every daemon has the newest configuration.
-            self.run_until(self.now + LATE[1] + 3.0)
+            self._has_faults = False
+            self.call_later(LATE_SECONDS[1], self._replace_leaders)
+            # By then late calls are done and all daemons have the newest configuration.
+            self.run_until(self.now + LATE_SECONDS[1] + 3.0)
             self._check_all_found()
-            self.run_until(self.now + 4 * KEPT)
+            self.run_until(self.now + 4 * RETENTION_SECONDS)
             self._check_nothing_left()
-        return self.faults
+        return self.violations
 
     @contextlib.contextmanager
-    def _replace(self) -> Iterator[None]:
+    def _patch_modules(self) -> Iterator[None]:
         with contextlib.ExitStack() as stack:
 
-            def put(where: Any, name: str, value: Any) -> None:
-                stack.enter_context(mock.patch.object(where, name, value))
+            def patch(target: Any, name: str, value: Any) -> None:
+                stack.enter_context(mock.patch.object(target, name, value))
 
-            put(acceptance, "anyio", self)
-            put(handler, "anyio", self)
-            put(http, "read_clock", lambda: self.read_clock(self._current))
-            put(log, "log_change", lambda *given, **named: None)
-            if self.off:
-                switch_off(self.off, put)
+            patch(acceptance, "anyio", self)
+            patch(handler, "anyio", self)
+            patch(http, "read_clock", lambda: self.read_clock(self._current))
+            patch(log, "log_change", lambda *args, **kwargs: None)
+            if self.disabled:
+                disable_mechanism(self.disabled, patch)
             yield
 
     # -- callers
 
-    def _bring(self, job: Job) -> Any:
-        def bring() -> None:
+    def _start_caller(self, job: Job) -> Any:
+        def start_caller() -> None:
             self._call(self._submit, job)
             for _ in range(4):
-                self.call_later(self.rng.uniform(0.1, 12.0), lambda: self._ask(job))
+                self.call_later(
+                    self.rng.uniform(0.1, 12.0), lambda: self._show_later(job)
+                )
             if self.rng.random() < 0.3:
                 self.call_later(
-                    self.rng.uniform(0.5, 6.0), lambda: self._cancel_soon(job)
+                    self.rng.uniform(0.5, 6.0), lambda: self._cancel_if_accepted(job)
                 )
 
-        return bring
+        return start_caller
 
     def _call(self, function: Any, job: Job) -> None:
-        """Make a call of a caller at any daemon."""
-        life = self.rng.choice(self._lives)
-        self.call_later(0.0, lambda: self.start_soon(function, life, job), life)
+        """Send a caller's request to a random daemon."""
+        daemon = self.rng.choice(self._daemons)
+        self.call_later(0.0, lambda: self.start_soon(function, daemon, job), daemon)
 
-    def _ask(self, job: Job) -> None:
+    def _show_later(self, job: Job) -> None:
         self._call(self._show, job)
 
-    def _cancel_soon(self, job: Job) -> None:
+    def _cancel_if_accepted(self, job: Job) -> None:
         if job.is_accepted:
             self._call(self._cancel, job)
 
-    async def _submit(self, life: Life, job: Job) -> None:
-        job.tries += 1
-        answered = []
-        self.call_later(3.0, lambda: None if answered else self._retry(job))
-        queue = life.handler.find_queue("h", f"/q/{job.id}")
+    async def _submit(self, daemon: DaemonIncarnation, job: Job) -> None:
+        job.attempts += 1
+        verdicts = []
+        self.call_later(3.0, lambda: None if verdicts else self._retry(job))
+        queue = daemon.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             verdict = queue.verdict
         else:
-            given = model.Job(job.id, queue.name, "", STEPS)
-            verdict = (await life.handler.submit(queue, given)).verdict
-        answered.append(verdict)
+            submitted = model.Job(job.id, queue.name, "", STEPS)
+            verdict = (await daemon.handler.submit(queue, submitted)).verdict
+        verdicts.append(verdict)
         job.verdicts.append(verdict)
         if verdict is message.Verdict.ACCEPTED:
             job.is_accepted = True
             if self.rng.random() < 0.5:
-                self.call_later(self.rng.uniform(0.0, 4.0), lambda: self._again(job))
+                self.call_later(self.rng.uniform(0.0, 4.0), lambda: self._repeat(job))
         else:
             self._retry(job)
 
-    def _again(self, job: Job) -> None:
-        """Let a repetition arrive after the answer."""
-        if self._has_trouble:
+    def _repeat(self, job: Job) -> None:
+        """Repeat a submission after its answer."""
+        if self._has_faults:
             self._call(self._submit, job)
 
     def _retry(self, job: Job) -> None:
-        if len(job.verdicts) < 5 and self.rng.random() < 0.8 and self._has_trouble:
+        if len(job.verdicts) < 5 and self.rng.random() < 0.8 and self._has_faults:
             delay = self.rng.uniform(0.05, 1.0)
             self.call_later(delay, lambda: self._call(self._submit, job))
 
-    async def _show(self, life: Life, job: Job) -> None:
-        accepted, before = job.is_accepted, job.shown
-        queue = life.handler.find_queue("h", f"/q/{job.id}")
+    async def _show(self, daemon: DaemonIncarnation, job: Job) -> None:
+        was_accepted, previous_state = job.is_accepted, job.shown
+        queue = daemon.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             return
-        answer = await life.handler.show(queue, job.id)
-        if answer.verdict is message.Verdict.MISSING and accepted:
-            self._tell(f"{job.id} was accepted and is missing")
+        answer = await daemon.handler.show(queue, job.id)
+        if answer.verdict is message.Verdict.MISSING and was_accepted:
+            self._report(f"{job.id} was accepted and is missing")
         if answer.state is None:
             return
-        if before in FINAL and answer.state is not before:
-            self._tell(f"{job.id} was shown as {before}, then as {answer.state}")
+        if previous_state in FINAL and answer.state is not previous_state:
+            self._report(
+                f"{job.id} was shown as {previous_state}, then as {answer.state}"
+            )
         if answer.state is model.JobState.CANCELLED and not job.is_cancelled:
-            self._tell(f"{job.id} is shown as cancelled, and nobody has asked for it")
+            self._report(f"{job.id} is shown as cancelled, and nobody has asked for it")
         job.shown = answer.state
 
-    async def _cancel(self, life: Life, job: Job) -> None:
-        queue = life.handler.find_queue("h", f"/q/{job.id}")
+    async def _cancel(self, daemon: DaemonIncarnation, job: Job) -> None:
+        queue = daemon.handler.find_queue("h", f"/q/{job.id}")
         if isinstance(queue, message.Answer):
             return
         job.is_cancelled = True
-        answer = await life.handler.cancel(queue, job.id)
+        answer = await daemon.handler.cancel(queue, job.id)
         if answer.verdict is message.Verdict.MISSING:
-            self._tell(f"{job.id} was accepted and can't be cancelled")
+            self._report(f"{job.id} was accepted and can't be cancelled")
 
-    # -- the operator, and trouble
+    # -- the operator and faults
 
     def _write_configuration(self, version: int) -> bytes:
         route = {
@@ -219,118 +227,141 @@
         fields = {"version": version, "routes": routes, "services": []}
         return orjson.dumps(fields)
 
-    def _move(self) -> None:
-        if not self._has_trouble:
+    def _move_queue(self) -> None:
+        if not self._has_faults:
             return
-        made = self._write_configuration(len(self._versions) + 1)
-        self._versions.append(made)
-        for life in self._lives:
+        value = self._write_configuration(len(self._versions) + 1)
+        self._versions.append(value)
+        for daemon in self._daemons:
             delay = self.rng.uniform(0.0, 2.0)
-            take = life.follower._apply_catalogue
-            self.call_later(delay, lambda take=take: take(made), life)
-        self.call_later(self.rng.expovariate(1 / self.plan.moves), self._move)
+            apply = daemon.follower._apply_catalogue
+            self.call_later(delay, lambda apply=apply: apply(value), daemon)
+        self.call_later(
+            self.rng.expovariate(1 / self.plan.move_interval), self._move_queue
+        )
 
-    def _restart(self) -> None:
-        if not self._has_trouble:
+    def _restart_daemon(self) -> None:
+        if not self._has_faults:
             return
-        number = self.rng.randrange(DAEMONS)
-        self._lives[number].is_terminated = True
-        newest = self._versions[-2:]
-        known = newest[:1] if self.rng.random() < 0.5 else newest[-1:]
-        self._lives[number] = life = Life(self, known)
-        take = life.follower._apply_catalogue
-        last = self._versions[-1]
-        self.call_later(self.rng.uniform(0.2, 2.0), lambda: take(last), life)
-        self.call_later(self.rng.expovariate(0.5), self._restart)
+        number = self.rng.randrange(DAEMON_COUNT)
+        self._daemons[number].is_terminated = True
+        recent_versions = self._versions[-2:]
+        applied_versions = (
+            recent_versions[:1] if self.rng.random() < 0.5 else recent_versions[-1:]
+        )
+        self._daemons[number] = daemon = DaemonIncarnation(self, applied_versions)
+        apply = daemon.follower._apply_catalogue
+        newest = self._versions[-1]
+        self.call_later(self.rng.uniform(0.2, 2.0), lambda: apply(newest), daemon)
+        self.call_later(self.rng.expovariate(0.5), self._restart_daemon)
 
     def draw_delivery(self, process: Any, call: simulation.Call) -> simulation.Delivery:
-        """Return what becomes of a call."""
-        odds = 0.06 if self._has_trouble else 0.0
-        odds_late = 3 * odds if call.kind == "commit" else 0.0
+        """Draw the fate and the delays of a call."""
+        fault_probability = 0.06 if self._has_faults else 0.0
+        late_probability = 3 * fault_probability if call.kind == "commit" else 0.0
         fates = ("", "refused", "lost", "unanswered", "late")
-        weights = (1 - 3 * odds - odds_late, odds, odds, odds, odds_late)
+        weights = (
+            1 - 3 * fault_probability - late_probability,
+            fault_probability,
+            fault_probability,
+            fault_probability,
+            late_probability,
+        )
         fate = self.rng.choices(fates, weights)[0]
-        slow = 0.3 if self.rng.random() < 0.2 else 0.01
-        out, back = self.rng.uniform(0.001, slow), self.rng.uniform(0.001, slow)
+        max_delay = 0.3 if self.rng.random() < 0.2 else 0.01
+        request_delay, answer_delay = (
+            self.rng.uniform(0.001, max_delay),
+            self.rng.uniform(0.001, max_delay),
+        )
         if fate == "late":
-            out = self.rng.uniform(*LATE)
-        return simulation.Delivery(fate, out, back)
+            request_delay = self.rng.uniform(*LATE_SECONDS)
+        return simulation.Delivery(fate, request_delay, answer_delay)
 
     def is_disconnected(self, process: Any) -> bool:
-        """Whether a process can't reach the store."""
+        """Return whether a process can't reach the store."""
         return False
 
-    # -- what tidies a pool
+    # -- leaders
 
-    def _succeed_leaders(self) -> None:
-        """Have each pool tidied by a new leader."""
-        for one in self._leaders:
-            one.is_terminated = True
+    def _replace_leaders(self) -> None:
+        """Replace the leader of each pool."""
+        for leader in self._leaders:
+            leader.is_terminated = True
         self._leaders = [simulation.Process() for _ in range(self.plan.pools)]
-        for number, one in enumerate(self._leaders):
-            self.call_later(0.0, self._make_leader(f"p{number}"), one)
+        for number, leader in enumerate(self._leaders):
+            self.call_later(0.0, self._make_leader(f"p{number}"), leader)
 
     def _make_leader(self, pool: str) -> Any:
         return lambda: self.start_soon(self._lead, pool, random.Random(self._count))
 
     async def _lead(self, pool: str, rng: random.Random) -> None:
-        """Complete the pool's jobs after a while, and tidy their rows."""
-        port, tidier = simulation.StoreClient(), compaction.Compactor(pool)
-        began: dict[str, float] = {}
-        read = [orjson.loads(row.value or b"") for row in self._list_rows(pool)]
-        listed = zip(self._list_rows(pool), read, strict=True)
-        known = {row.key for row, fields in listed if "final" not in fields}
-        noted = self.store.read(pool_record.PROGRESS_TABLE, pool).rows
-        spent = {row.key for row in noted if row.key not in known}
+        """Complete the pool's jobs after a while, and compact their rows."""
+        client, compactor = simulation.StoreClient(), compaction.Compactor(pool)
+        completion_times: dict[str, float] = {}
+        parsed_rows = [orjson.loads(row.value or b"") for row in self._list_rows(pool)]
+        row_pairs = zip(self._list_rows(pool), parsed_rows, strict=True)
+        unfinished_ids = {row.key for row, fields in row_pairs if "final" not in fields}
+        progress_rows = self.store.read(pool_record.PROGRESS_TABLE, pool).rows
+        removable_ids = {
+            row.key for row in progress_rows if row.key not in unfinished_ids
+        }
         while True:
             await self.sleep(0.25)
             for row in self._list_rows(pool):
                 fields = orjson.loads(row.value or b"")
-                place = compaction.RowLocation(row.table, row.part)
+                location = compaction.RowLocation(row.table, row.part)
                 if "final" in fields:
-                    tidier.on_final_row(row.key, place, row.version, fields["finished"])
+                    compactor.on_final_row(
+                        row.key, location, row.version, fields["finished"]
+                    )
                     continue
-                due = began.setdefault(row.key, self.now + rng.uniform(0.5, 8.0))
-                if self.now >= due and not tidier.is_waiting(row.key):
-                    ended = await self._finish(port, pool, row.key, fields)
-                    if ended is not None:
+                completes_at = completion_times.setdefault(
+                    row.key, self.now + rng.uniform(0.5, 8.0)
+                )
+                if self.now >= completes_at and not compactor.is_waiting(row.key):
+                    final = await self._finish(client, pool, row.key, fields)
+                    if final is not None:
                         cancelled_at = row.version if fields.get("cancelled") else 0
-                        state = progress.resolve_final_state(*ended, cancelled_at)
-                        tidier.add(row.key, place, state, row.version, ended[1])
-            work = tidier.collect(self.now, KEPT)
-            if work is not None:
-                change = await port.commit(work.transaction, timeout=1.0)
-                spent.update(tidier.on_result(work, change))
-            for id in list(spent):
-                gone = rows.Write(pool_record.PROGRESS_TABLE, pool, id, None)
-                change = await port.commit(rows.Transaction((), (gone,)), timeout=1.0)
+                        state = progress.resolve_final_state(*final, cancelled_at)
+                        compactor.add(row.key, location, state, row.version, final[1])
+            batch = compactor.collect(self.now, RETENTION_SECONDS)
+            if batch is not None:
+                change = await client.commit(batch.transaction, timeout=1.0)
+                removable_ids.update(compactor.on_result(batch, change))
+            for id in list(removable_ids):
+                deletion = rows.Write(pool_record.PROGRESS_TABLE, pool, id, None)
+                change = await client.commit(
+                    rows.Transaction((), (deletion,)), timeout=1.0
+                )
                 if change.outcome is table.Outcome.DONE:
-                    spent.discard(id)
+                    removable_ids.discard(id)
 
     async def _finish(
-        self, port: simulation.StoreClient, pool: str, id: str, fields: dict[str, Any]
+        self, client: simulation.StoreClient, pool: str, id: str, fields: dict[str, Any]
     ) -> tuple[model.JobState, int] | None:
-        """Make a final state durable, as a leader does before it tidies."""
-        place = (pool_record.PROGRESS_TABLE, pool, id)
-        known = self.store.rows.get(place)
-        if known is not None:
-            state = model.JobState(orjson.loads(known.value or b"")["final"])
-            return state, known.version
+        """Make a final state durable, as a leader does before compaction."""
+        location = (pool_record.PROGRESS_TABLE, pool, id)
+        existing = self.store.rows.get(location)
+        if existing is not None:
+            state = model.JobState(orjson.loads(existing.value or b"")["final"])
+            return state, existing.version
         is_cancelled = fields.get("cancelled", False)
         state = FINAL[2] if is_cancelled else FINAL[0]
-        write = rows.Write(*place, orjson.dumps({"final": state.value}))
-        absent = rows.Condition(*place, 0)
-        change = await port.commit(rows.Transaction((absent,), (write,)), timeout=1.0)
+        write = rows.Write(*location, orjson.dumps({"final": state.value}))
+        is_absent = rows.Condition(*location, 0)
+        change = await client.commit(
+            rows.Transaction((is_absent,), (write,)), timeout=1.0
+        )
         is_done = change.outcome is table.Outcome.DONE
         return (state, change.version) if is_done else None
 
     def _list_rows(self, pool: str) -> list[rows.Row]:
-        return [one for one in self.store.rows.values() if find_pool(one) == pool]
+        return [row for row in self.store.rows.values() if find_pool(row) == pool]
 
-    # -- what is checked
+    # -- checks
 
     def on_commit(self, process: Any, call: simulation.Call) -> None:
-        """Note in which pools there are rows of each job."""
+        """Record in which pools there are rows of each job."""
         for row in reversed(self.store.changes):
             if row.version != self.store.version:
                 break
@@ -340,58 +371,63 @@
             pools = self.jobs[row.key].pools
             pools.add(pool)
             if len(pools) > 1:
-                self._tell(f"{row.key} is accepted in {sorted(pools)}")
+                self._report(f"{row.key} is accepted in {sorted(pools)}")
 
     def _check_all_found(self) -> None:
         for job in self.jobs.values():
-            is_answered = job.tries == len(job.verdicts)
-            if job.pools and is_answered and set(job.verdicts) <= REFUSALS:
-                self._tell(f"{job.id} was refused at every try and accepted")
+            are_all_answered = job.attempts == len(job.verdicts)
+            if job.pools and are_all_answered and set(job.verdicts) <= REFUSALS:
+                self._report(f"{job.id} was refused at every try and accepted")
             if job.is_accepted and not job.pools:
-                self._tell(f"{job.id} was accepted and lies in no pool")
+                self._report(f"{job.id} was accepted and lies in no pool")
 
     def _check_nothing_left(self) -> None:
-        left = sorted({key[0] for key in self.store.rows if key[2] in self.jobs})
-        if left:
-            self._tell(f"rows of jobs are left in {left}")
+        remaining_tables = sorted(
+            {key[0] for key in self.store.rows if key[2] in self.jobs}
+        )
+        if remaining_tables:
+            self._report(f"rows of jobs are left in {remaining_tables}")
 
-    def _tell(self, text: str) -> None:
-        self.faults.append(f"{self.now:.3f} {text}")
+    def _report(self, text: str) -> None:
+        self.violations.append(f"{self.now:.3f} {text}")
 
 
 def find_pool(row: rows.Row) -> str:
-    """Return the pool whose job a row is, empty if it is another row."""
+    """Return the pool of a job's row, or an empty string for another row."""
     name = row.table.removeprefix(pool_record.JOB_TABLE)
     return orjson.loads(row.value or b"{}")["pool"] if name.isdigit() else ""
 
 
-def switch_off(mechanism: str, put: Any) -> None:
-    """Take one mechanism out."""
-    plan, find = acceptance._build_transaction, handler.RequestHandler._find
-    remove = compaction.Compactor._remove
+def disable_mechanism(mechanism: str, patch: Any) -> None:
+    """Disable one mechanism."""
+    original_build, original_find = (
+        acceptance._build_transaction,
+        handler.RequestHandler._find,
+    )
+    original_remove = compaction.Compactor._remove
 
-    def plan_unconditionally(*given: Any) -> rows.Transaction:
-        return plan(*given)._replace(conditions=())
+    def build_unconditionally(*args: Any) -> rows.Transaction:
+        return original_build(*args)._replace(conditions=())
 
     async def find_in_pool(self: Any, queue: model.Queue, id: str) -> Any:
-        found = await self._jobs.find(queue.pool, id)
+        lookup = await self._jobs.find(queue.pool, id)
         if (
-            isinstance(found, jobrows.StoredJob)
-            or found.outcome is not table.Outcome.DONE
+            isinstance(lookup, jobrows.StoredJob)
+            or lookup.outcome is not table.Outcome.DONE
         ):
-            return await find(self, queue, id)
+            return await original_find(self, queue, id)
         return message.Answer(message.Verdict.MISSING)
 
-    def remove_own_row(self: Any, before: float) -> Any:
-        work = remove(self, before)
-        if work is None:
+    def remove_own_row_only(self: Any, before: float) -> Any:
+        batch = original_remove(self, before)
+        if batch is None:
             return None
-        kept = work.transaction._replace(writes=work.transaction.writes[:1])
-        return work._replace(transaction=kept)
+        transaction = batch.transaction._replace(writes=batch.transaction.writes[:1])
+        return batch._replace(transaction=transaction)
 
     if mechanism == "condition":
-        put(acceptance, "_build_transaction", plan_unconditionally)
+        patch(acceptance, "_build_transaction", build_unconditionally)
     elif mechanism == "holder":
-        put(handler.RequestHandler, "_find", find_in_pool)
+        patch(handler.RequestHandler, "_find", find_in_pool)
     elif mechanism == "removal":
-        put(compaction.Compactor, "_remove", remove_own_row)
+        patch(compaction.Compactor, "_remove", remove_own_row_only)
--- a/wigeonhitch/site/tests/test_closings.py
+++ b/wigeonhitch/site/tests/test_closings.py
@@ -1,4 +1,4 @@
-"""Which workers are to be vacated, as a pool's leader hears of it in two ways."""
+"""Which workers are to be vacated, as a pool's leader learns from two sources."""
 
 import pytest
 
@@ -38,50 +38,50 @@
 
 @pytest.fixture
 def follower(leader, store):
-    """Follow the rows for all pools of a daemon, as it does before the takeover."""
+    """Follow the rows for all pools of a daemon, which starts before the takeover."""
     return closings.ClosingFollower(
         store, lambda: True, lambda *given: leader.take_closings(*given)
     )
 
 
 def close(store, worker):
-    """Have a worker vacated; return the row as a feed tells it."""
-    place = (record.CLOSING_TABLE, leadership.FLEET, worker)
-    store.put(*place, record.write_closing(record.Closing(worker, worker, 1)))
-    return rows.Row(*place, store.get(*place), store.version)
+    """Order that a worker be vacated; return the row as a feed delivers it."""
+    location = (record.CLOSING_TABLE, leadership.FLEET, worker)
+    store.put(*location, record.write_closing(record.Closing(worker, worker, 1)))
+    return rows.Row(*location, store.get(*location), store.version)
 
 
-async def test_older_news_does_not_open_what_was_read_as_closed(
+async def test_an_older_update_does_not_reopen_a_vm_read_as_closed(
     pool, leader, follower, store
 ):
-    """What could be seen: tasks begun on a VM that goes down for its upkeep.
+    """Guards against tasks started on a VM that goes down for maintenance.
 
-    How: a daemon follows which VMs are to be vacated, and that news was late when it
-    took over a pool. The leader read the rows itself; then the older news came, and
-    all VMs that it didn't name were open, one that is shown as empty among them.
-
-    Cause: the news that came last was taken for the newest. The store's version at
-    which it is known decides now.
+    A daemon follows the closings, and its feed was late when it took over a pool. The
+    leader read the rows itself; then the older feed answer arrived and reopened all VMs
+    that it didn't name, including one reported as empty. The last update to arrive was
+    taken for the newest; the store's version of the update decides now.
     """
     await follower._read_snapshot()
-    older = close(store, "other")
+    older_row = close(store, "other")
     close(store, "w1")
     await leader.load()
     assert pool.vms["w1"].closed
 
-    follower._apply_rows((older,))
+    follower._apply_rows((older_row,))
 
     assert pool.vms["w1"].closed
 
 
-async def test_newer_news_opens_what_is_closed_no_more(pool, leader, follower, store):
+async def test_a_newer_update_reopens_a_vm_that_is_no_longer_closed(
+    pool, leader, follower, store
+):
     await follower._read_snapshot()
-    closed = close(store, "w1")
+    closed_row = close(store, "w1")
     await leader.load()
-    follower._apply_rows((closed,))
+    follower._apply_rows((closed_row,))
     store.put(record.CLOSING_TABLE, leadership.FLEET, "w1", None)
 
-    follower._apply_rows((closed._replace(value=None, version=store.version),))
+    follower._apply_rows((closed_row._replace(value=None, version=store.version),))
 
     assert not pool.vms["w1"].closed
 
@@ -89,7 +89,7 @@
 async def test_closings_are_known_up_to_the_version_of_the_last_answer(
     pool, follower, store
 ):
-    """Whoever waits for a closing to be known may know it by a later version."""
+    """A writer that waits for a closing may only know a later version."""
     close(store, "w1")
     await follower._read_snapshot()
     store.put("other", "", "row", b"")
@@ -100,10 +100,10 @@
 
 
 async def test_a_board_tells_at_which_version_a_vm_was_empty(pool, follower, store):
-    one = pool.vms["w1"]
+    vm = pool.vms["w1"]
     close(store, "w1")
     await follower._read_snapshot()
-    one.reconciled = True
+    vm.reconciled = True
 
     made = status.build_status(pool, 0, demand.compute_demand([], 0, 0.0))
     read = pool_record.read_status(pool_record.write_status(made))
--- a/wigeonhitch/site/tests/test_connectivity.py
+++ b/wigeonhitch/site/tests/test_connectivity.py
@@ -1,4 +1,4 @@
-"""When a daemon takes the store for lost, by the calls that it makes."""
+"""When a daemon considers the store unreachable, judged by its own calls."""
 
 import pytest
 
@@ -21,61 +21,61 @@
     return rowstore.RowStore()
 
 
-async def read(one):
-    return await one.read("t", "p", timeout=1.0)
+async def read(monitored_store):
+    return await monitored_store.read("t", "p", timeout=1.0)
 
 
-async def test_a_daemon_that_makes_no_call_keeps_its_contact(store, clock):
-    one = connectivity.MonitoredStore(store)
-    await read(one)
+async def test_a_store_that_is_not_called_does_not_become_unreachable(store, clock):
+    monitored_store = connectivity.MonitoredStore(store)
+    await read(monitored_store)
     clock[0] += 60.0
 
-    assert not one.is_unreachable()
+    assert not monitored_store.is_unreachable()
 
 
-async def test_the_store_is_lost_once_calls_have_failed_for_long(store, clock):
-    one = connectivity.MonitoredStore(store)
-    await read(one)
+async def test_the_store_is_unreachable_once_calls_have_failed_for_long(store, clock):
+    monitored_store = connectivity.MonitoredStore(store)
+    await read(monitored_store)
     store.is_down = True
     clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS / 2
-    await read(one)
-    assert not one.is_unreachable()
+    await read(monitored_store)
+    assert not monitored_store.is_unreachable()
 
     clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS
-    await read(one)
-    assert one.is_unreachable()
+    await read(monitored_store)
+    assert monitored_store.is_unreachable()
 
     store.is_down = False
-    await read(one)
-    assert not one.is_unreachable()
+    await read(monitored_store)
+    assert not monitored_store.is_unreachable()
 
 
-async def test_a_refused_condition_is_an_answer(store, clock):
-    one = connectivity.MonitoredStore(store)
+async def test_a_failed_condition_counts_as_a_served_call(store, clock):
+    monitored_store = connectivity.MonitoredStore(store)
     store.put("t", "p", "k", b"")
     clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS
     condition = rows.Condition("t", "p", "k", 99)
 
-    await one.commit(rows.Transaction((condition,), ()), timeout=1.0)
+    await monitored_store.commit(rows.Transaction((condition,), ()), timeout=1.0)
 
-    assert not one.is_unreachable()
+    assert not monitored_store.is_unreachable()
 
 
-async def test_a_call_from_before_an_outage_says_nothing_of_it(store, clock):
-    """A feed was answered 1.5 s after it was sent, and the store was gone by then."""
-    one = connectivity.MonitoredStore(store)
-    whole = store.follow
+async def test_a_call_sent_before_an_outage_does_not_end_it(store, clock):
+    """A feed call may be answered 1.5 s after it was sent, when the store is down."""
+    monitored_store = connectivity.MonitoredStore(store)
+    original_follow = store.follow
 
-    async def follow(*given, **named):
+    async def follow(*args, **kwargs):
         clock[0] += connectivity.UNREACHABLE_AFTER_SECONDS
         store.is_down = True
-        await read(one)
+        await read(monitored_store)
         clock[0] += 0.1
         store.is_down = False
-        return await whole(*given, **named)
+        return await original_follow(*args, **kwargs)
 
     store.follow = follow
-    answer = await one.follow("t", 0, wait=0.0, timeout=1.0)
+    answer = await monitored_store.follow("t", 0, wait=0.0, timeout=1.0)
 
     assert answer.outcome is table.Outcome.DONE
-    assert one.is_unreachable()
+    assert monitored_store.is_unreachable()
--- a/wigeonhitch/site/tests/test_history.py
+++ b/wigeonhitch/site/tests/test_history.py
@@ -1,7 +1,7 @@
-"""A job stays one job in one pool, checked over seeded histories.
+"""Checks over seeded histories that a job stays one job in one pool.
 
-Each mechanism is also switched off: the check must then find a fault, or it would
-prove nothing.
+Each mechanism is also disabled once: the check must then find a violation, which shows
+that it can fail.
 """
 
 import pytest
@@ -9,30 +9,33 @@
 from wigeonhitch.site.tests import history
 
 SEEDS = [*range(30), 24263]
-"""The last once failed: an end and a cancellation came while a state was read."""
+"""The last seed failed when a job ended and was cancelled while its state was read."""
 
-WITHIN = 30
-"""Seeds of which one must fail with a mechanism off."""
+SEEDS_PER_MECHANISM = 30
+"""Number of seeds of which at least one must fail with a mechanism disabled."""
 
-SECONDS = 20.0
+HISTORY_SECONDS = 20.0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_job_stays_in_one_pool_and_is_found_there(seed):
-    """What was seen: a job of a queue that had moved was accepted in two pools.
+    """Guards against a job of a moved queue that is accepted in two pools.
 
-    How: it came again at a daemon that had restarted since the move, or its first write
-    was done after the second daemon's look. Both leaders then started its tasks. Cause:
-    whether it was accepted was known by pool, and former pools by who had seen them.
+    The job was repeated at a daemon that had restarted since the move, or its first
+    write was applied after the second daemon's read. Both leaders then started its
+    tasks. Acceptance was recorded per pool, and only daemons that had seen the former
+    pools knew of them.
     """
     world = history.World(seed)
 
-    assert world.play(SECONDS) == []
+    assert world.run(HISTORY_SECONDS) == []
     assert sum(job.is_accepted for job in world.jobs.values()) > 2
 
 
 @pytest.mark.parametrize("mechanism", ["condition", "holder", "removal"])
-def test_a_history_goes_wrong_without(mechanism):
-    worlds = (history.World(seed, off=mechanism) for seed in range(WITHIN))
+def test_a_history_fails_without(mechanism):
+    worlds = (
+        history.World(seed, disabled=mechanism) for seed in range(SEEDS_PER_MECHANISM)
+    )
 
-    assert any(world.play(SECONDS) for world in worlds)
+    assert any(world.run(HISTORY_SECONDS) for world in worlds)
--- a/wigeonhitch/site/tests/test_story.py
+++ b/wigeonhitch/site/tests/test_story.py
@@ -1,7 +1,7 @@
-"""The three ways of the operations page, from whole daemons' own log lines.
+"""The three diagnoses of the operators' page, made from whole daemons' log lines.
 
-Each finds the cause of a failed request by its id alone, in what the daemons
-wrote, as the command ``wigeonhitch explain`` reads it.
+Each finds the cause of a failed request by its id alone, in the log lines that
+the command ``wigeonhitch explain`` reads.
 """
 
 import io
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def output():
-    """What daemons write while a test runs."""
+    """The log output of the daemons while a test runs."""
     stream = io.StringIO()
     handler = standard.StreamHandler(stream)
     handler.setFormatter(log.Formatter(daemon="d"))
@@ -38,21 +38,21 @@
     return story.find_story(lines, id)
 
 
-async def test_a_refused_request_leads_to_the_lost_store(site, output):
-    async with site.run("a") as (one,):
+async def test_a_refused_request_is_traced_to_the_lost_store(site, output):
+    async with site.run("a") as (daemon,):
         site.store.is_down = True
-        await site.wait_for(lambda: not one.is_ready)
-        assert isinstance(one.handler.find_queue("h", "/q/j7"), message.Answer)
+        await site.wait_for(lambda: not daemon.is_ready)
+        assert isinstance(daemon.handler.find_queue("h", "/q/j7"), message.Answer)
 
     (line,) = explain(output, "j7")
     assert (line.change, line.fields["reason"]) == ("request refused", "store lost")
     assert '"renewal of the lease lost", "reason": "down"' in output.getvalue()
 
 
-async def test_a_late_job_leads_to_its_leaders_end(site, output):
-    async with site.run("ab") as ones:
-        leader = site.find_leader(ones)
-        (other,) = [one for one in ones if one is not leader]
+async def test_a_late_job_is_traced_to_the_end_of_its_leader(site, output):
+    async with site.run("ab") as daemons:
+        leader = site.find_leader(daemons)
+        (other,) = [daemon for daemon in daemons if daemon is not leader]
         await site.submit(other, "j0")
         site.kill(leader)
         await site.wait_until(other, ["j0"])
@@ -62,12 +62,12 @@
     assert lines["leadership claimed"]["epoch"] == 2
 
 
-async def test_a_failed_job_leads_to_the_task_that_failed_each_time(site, output):
+async def test_a_failed_job_is_traced_to_the_task_that_failed_each_time(site, output):
     for worker in site.calls.workers.values():
         worker.choose_end = lambda order: (0.05, model.End.FAILED)
-    async with site.run("a") as (one,):
-        await site.submit(one, "j0")
-        await site.wait_until(one, ["j0"], model.JobState.FAILED)
+    async with site.run("a") as (daemon,):
+        await site.submit(daemon, "j0")
+        await site.wait_until(daemon, ["j0"], model.JobState.FAILED)
 
     lines = explain(output, "j0")
     (failed,) = [line for line in lines if line.change == "job failed"]
--- a/wigeonhitch/site/tests/test_upkeep.py
+++ b/wigeonhitch/site/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""An upkeep from the operator's order to its end, by whole daemons."""
+"""Maintenance of a VM by whole daemons, from the operator's order to its end."""
 
 import anyio
 import orjson
@@ -12,8 +12,8 @@
 ORDER = {"wave": 1, "machines": ["vm1"], "duration_s": 20, "ceiling": 1}
 
 
-async def test_a_vm_is_vacated_shown_as_empty_and_maintained(site, monkeypatch):
-    """The pool's leader hears of the closing and tells that it knows of it."""
+async def test_a_vm_is_vacated_reported_empty_and_maintained(site, monkeypatch):
+    """The pool's leader learns of the closing and confirms it in the pool's status."""
     maintained = []
     up = fleet.VmState.UP
     room = model.Room(8000, 9000)
@@ -26,12 +26,12 @@
         maintained.append(vm)
         return fleet.OrderOutcome.DONE
 
-    async with site.run("ab") as ones:
-        calls = type(ones[0]._fleet_calls)
-        monkeypatch.setattr(calls, "list_vms", list_vms)
-        monkeypatch.setattr(calls, "maintain", maintain, raising=False)
-        wave = entries.WAVE_PREFIX + "1"
-        site.store.put(entries.OPERATOR_TABLE, "", wave, orjson.dumps(ORDER))
+    async with site.run("ab") as daemons:
+        calls_class = type(daemons[0]._fleet_calls)
+        monkeypatch.setattr(calls_class, "list_vms", list_vms)
+        monkeypatch.setattr(calls_class, "maintain", maintain, raising=False)
+        wave_key = entries.WAVE_PREFIX + "1"
+        site.store.put(entries.OPERATOR_TABLE, "", wave_key, orjson.dumps(ORDER))
         with anyio.move_on_after(12.0):
             await site.wait_for(lambda: maintained)
 
--- a/wigeonhitch/tests/test_docs.py
+++ b/wigeonhitch/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the operators' page lists is what the code has."""
+"""Checks that the operators' pages list the settings, metrics and commands."""
 
 import pathlib
 import re
@@ -24,20 +24,20 @@
 
 
 def list_settings(section, path=""):
-    """Yield each key of the settings, and its default as the page writes it."""
+    """Yield each key of the settings and its default."""
     hints = typing.get_type_hints(section)
     for field in section._fields:
-        inner = [
-            kind
-            for kind in (hints[field], *typing.get_args(hints[field]))
-            if hasattr(kind, "_fields")
+        nested_types = [
+            type_
+            for type_ in (hints[field], *typing.get_args(hints[field]))
+            if hasattr(type_, "_fields")
         ]
         if (
-            inner
-            and inner[0] is not schema.Tls
+            nested_types
+            and nested_types[0] is not schema.Tls
             and field not in ("credentials", "seeds")
         ):
-            yield from list_settings(inner[0], f"{path}{field}.")
+            yield from list_settings(nested_types[0], f"{path}{field}.")
         else:
             yield f"{path}{field}", section._field_defaults.get(field, "required")
 
@@ -50,7 +50,7 @@
     return {default, f"`{default}`"}
 
 
-def test_every_setting_stands_on_the_page_with_its_default(operators_page):
+def test_every_setting_is_listed_on_the_page_with_its_default(operators_page):
     rows = re.findall(r"^\| `([a-z_.]+)` \| (.+?) \|", operators_page, re.MULTILINE)
     listed = dict(rows)
     known = dict(list_settings(schema.Settings))
@@ -59,9 +59,9 @@
         assert listed[key] in write_default(default), key
 
 
-def test_every_metric_stands_on_the_page(operators_page):
-    part = operators_page.split("## What to watch")[1].split("\n## ")[0]
-    listed = set(re.findall(r"`(\w+_\w+)`", part))
+def test_every_metric_is_listed_on_the_page(operators_page):
+    section = operators_page.split("## What to watch")[1].split("\n## ")[0]
+    listed = set(re.findall(r"`(\w+_\w+)`", section))
     files = [
         file for file in ROOT.glob("wigeonhitch/**/*.py") if "tests" not in file.parts
     ]
@@ -71,7 +71,7 @@
     assert listed - used == set()
 
 
-def test_exit_codes_and_commands_stand_on_the_page(command_page):
+def test_exit_codes_and_commands_are_listed_on_the_page(command_page):
     codes = re.findall(r"^\| (\d) \|", command_page, re.MULTILINE)
     assert [int(code) for code in codes] == sorted(report.Exit)
     for group, commands in main.COMMANDS.items():
--- a/wigeonhitch/tests/test_feed.py
+++ b/wigeonhitch/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""A table is read, then followed, and read anew when its history is dropped."""
+"""A table is read, then followed, and read again when its history is dropped."""
 
 import anyio
 import pytest
@@ -13,36 +13,41 @@
 
 
 class Reader:
-    """Keeps what it was given of the table "t"."""
+    """Records the rows that it receives of the table "t"."""
 
     def __init__(self):
         self.store = rowstore.RowStore()
         self.store.put("t", "a", "k", b"1")
         self.reads = 0
-        self.taken = []
+        self.received = []
         self.is_enabled = True
 
-    async def read_all(self):
+    async def read_snapshot(self):
         self.reads += 1
         read = await self.store.read("t", "a", timeout=1.0)
         return read.version
 
-    def take(self, found):
-        self.taken.extend(row.value for row in found)
+    def on_rows(self, changed_rows):
+        self.received.extend(row.value for row in changed_rows)
 
     async def run(self):
         await feed.follow(
-            self.store, "t", self.read_all, self.take, TIMES, lambda: self.is_enabled
+            self.store,
+            "t",
+            self.read_snapshot,
+            self.on_rows,
+            TIMES,
+            lambda: self.is_enabled,
         )
 
 
 @pytest.fixture
 async def reader():
-    made = Reader()
+    reader = Reader()
     async with anyio.create_task_group() as group:
-        group.start_soon(made.run)
+        group.start_soon(reader.run)
         await anyio.sleep(0.02)
-        yield made
+        yield reader
         group.cancel_scope.cancel()
 
 
@@ -52,15 +57,15 @@
             await anyio.sleep(0.01)
 
 
-async def test_changes_after_the_reading_are_taken_once(reader):
+async def test_changes_after_the_snapshot_are_received_once(reader):
     reader.store.put("t", "a", "k", b"2")
     reader.store.put("t", "a", "k", b"3")
     await anyio.sleep(0.1)
 
-    assert (reader.reads, reader.taken) == (1, [b"2", b"3"])
+    assert (reader.reads, reader.received) == (1, [b"2", b"3"])
 
 
-async def test_a_dropped_history_is_read_anew(reader):
+async def test_a_table_is_read_again_when_its_history_is_dropped(reader):
     reader.store.is_down = True
     await anyio.sleep(0.1)
     reader.store.put("t", "a", "k", b"2")
@@ -70,17 +75,17 @@
     await wait_for(lambda: reader.reads == 2)
 
 
-async def test_calls_go_on_after_an_outage_from_where_they_were(reader):
+async def test_following_resumes_after_an_outage_at_the_same_version(reader):
     reader.store.is_down = True
     await anyio.sleep(0.1)
     reader.store.put("t", "a", "k", b"2")
     reader.store.is_down = False
 
-    await wait_for(lambda: reader.taken == [b"2"])
+    await wait_for(lambda: reader.received == [b"2"])
     assert reader.reads == 1
 
 
-async def test_what_is_wanted_again_is_read_anew(reader):
+async def test_a_follower_that_is_enabled_again_reads_a_snapshot(reader):
     reader.is_enabled = False
     await anyio.sleep(0.1)
     reader.is_enabled = True
@@ -88,10 +93,10 @@
     await wait_for(lambda: reader.reads == 2)
 
 
-async def test_parts_are_followed_from_the_oldest_and_from_none_if_one_fails():
+async def test_read_parts_returns_the_lowest_version_or_0_if_a_part_fails():
     async def read_part(name):
-        done = name != "bad"
-        outcome = table.Outcome.DONE if done else table.Outcome.UNKNOWN
+        is_done = name != "bad"
+        outcome = table.Outcome.DONE if is_done else table.Outcome.UNKNOWN
         return rows.Range(outcome, version=len(name))
 
     assert await feed.read_parts(read_part, ["four", "two", "seven"]) == 3
--- a/wigeonhitch/tests/test_library.py
+++ b/wigeonhitch/tests/test_library.py
@@ -24,22 +24,22 @@
 
 @pytest.fixture(scope="module")
 def reporter():
-    """Names that the example defines."""
+    """Return the names that the example defines."""
     return runpy.run_path(str(REPORTER), run_name="reporter")
 
 
-def test_reports_go_out_once_and_a_replaced_holder_writes_nothing(reporter, capsys):
+def test_reports_are_sent_once_and_a_replaced_holder_writes_nothing(reporter, capsys):
     sent = reporter["Sent"]
-    seen = reporter["main"]()
-    assert seen.first == {"gas-17": sent.NOW, "moisture-17": sent.NOW}
-    assert seen.second == {
+    reports = reporter["main"]()
+    assert reports.first == {"gas-17": sent.NOW, "moisture-17": sent.NOW}
+    assert reports.second == {
         "gas-17": sent.BEFORE,
         "moisture-17": sent.BEFORE,
         "gas-18": sent.NOW,
     }
-    assert seen.sent == ("gas-17", "moisture-17", "gas-18")
-    assert seen.late_write.outcome is table.Outcome.NOT_DONE
-    assert seen.late_write.reason == "conflict"
+    assert reports.sent == ("gas-17", "moisture-17", "gas-18")
+    assert reports.late_write.outcome is table.Outcome.NOT_DONE
+    assert reports.late_write.reason == "conflict"
     assert "gas-18 sent" in capsys.readouterr().out
 
 
@@ -60,7 +60,7 @@
         "sys.exit(str(sorted(heavy & set(sys.modules))) if heavy & set(sys.modules)"
         " else 0)"
     )
-    ended = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", check], cwd=ROOT, capture_output=True, text=True
     )
-    assert ended.returncode == 0, ended.stderr
+    assert process.returncode == 0, process.stderr
