--- a/wigeonhitch/site/tests/test_closings.py
+++ b/wigeonhitch/site/tests/test_closings.py
@@ -24,11 +24,11 @@
 @pytest.fixture
 def pool():
     times = view.TimeBounds(6.5, 0.2)
-    made = core.Pool("p", 1, 1, times, NOW, lambda what, **fields: None)
+    pool = core.Pool("p", 1, 1, times, NOW, lambda event, **fields: None)
     room = model.Room(8000, 9000)
     entry = entries.WorkerEntry("w1", "p", "w1:1", "dc", False, room, ())
-    made.on_worker(entry, NOW)
-    return made
+    pool.on_worker(entry, NOW)
+    return pool
 
 
 @pytest.fixture
@@ -40,7 +40,7 @@
 def follower(leader, store):
     """Follow the rows for all pools of a daemon, which starts before the takeover."""
     return closings.ClosingFollower(
-        store, lambda: True, lambda *given: leader.take_closings(*given)
+        store, lambda: True, lambda *args: leader.take_closings(*args)
     )
 
 
@@ -99,13 +99,15 @@
     assert pool.closings_version == store.version
 
 
-async def test_a_board_tells_at_which_version_a_vm_was_empty(pool, follower, store):
+async def test_a_status_names_the_version_at_which_a_vm_was_empty(
+    pool, follower, store
+):
     vm = pool.vms["w1"]
     close(store, "w1")
     await follower._read_snapshot()
     vm.reconciled = True
 
-    made = status.build_status(pool, 0, demand.compute_demand([], 0, 0.0))
-    read = pool_record.read_status(pool_record.write_status(made))
+    pool_status = status.build_status(pool, 0, demand.compute_demand([], 0, 0.0))
+    decoded = pool_record.read_status(pool_record.write_status(pool_status))
 
-    assert (read.empty, read.closings) == (("w1",), store.version)
+    assert (decoded.empty, decoded.closings) == (("w1",), store.version)
--- a/wigeonhitch/site/tests/test_desk.py
+++ b/wigeonhitch/site/tests/test_desk.py
@@ -1,4 +1,4 @@
-"""Accepting, showing and cancelling jobs while the store misbehaves."""
+"""Accepting, showing and cancelling jobs while the store fails or is slow."""
 
 import collections
 
@@ -16,24 +16,24 @@
 pytestmark = pytest.mark.anyio
 
 QUEUE = model.Queue("q", "h", "/q/", "p")
-MOVED = QUEUE._replace(pool="other")
+MOVED_QUEUE = QUEUE._replace(pool="other")
 JOB = model.Job("j", "q", "", (model.Step(1, model.Room(1000, 10)),))
 TABLE = pool_record.get_job_table("p")
 PART = pool_record.get_job_part("j")
 
 
 class Site:
-    """A request handler on a store in process."""
+    """A request handler on an in-process store."""
 
     def __init__(self):
         self.store = rowstore.RowStore()
         self.queues = (QUEUE,)
-        self.is_lost = False
+        self.is_store_unreachable = False
         self.handler = handler.RequestHandler(
             self.store,
             lambda: model.Catalogue(1, self.queues, ()),
             metric.Instruments(),
-            lambda: self.is_lost,
+            lambda: self.is_store_unreachable,
         )
 
 
@@ -42,14 +42,14 @@
     return Site()
 
 
-async def test_a_job_is_accepted_once_its_row_is_there(site):
+async def test_a_job_is_accepted_once_its_row_is_written(site):
     answer = await site.handler.submit(QUEUE, JOB)
 
     assert answer.verdict is message.Verdict.ACCEPTED
     assert record.read_job("j", site.store.get(TABLE, PART, "j")).job == JOB
 
 
-async def test_an_id_that_comes_again_stays_one_job(site):
+async def test_a_repeated_id_stays_one_job(site):
     await site.handler.submit(QUEUE, JOB)
     version = site.store.version
 
@@ -59,37 +59,36 @@
     assert site.store.version == version
 
 
-async def test_an_id_that_comes_again_after_its_queue_moved_stays_one_job(site):
+async def test_an_id_repeated_after_its_queue_moved_stays_one_job(site):
     await site.handler.submit(QUEUE, JOB)
 
-    answer = await site.handler.submit(MOVED, JOB)
+    answer = await site.handler.submit(MOVED_QUEUE, JOB)
 
     assert answer.verdict is message.Verdict.ACCEPTED
     other = pool_record.get_job_table("other")
     part = pool_record.get_job_part("j")
     assert site.store.get(other, part, "j") is None
-    assert (await site.handler.show(MOVED, "j")).state is model.JobState.QUEUED
+    assert (await site.handler.show(MOVED_QUEUE, "j")).state is model.JobState.QUEUED
 
 
 @pytest.mark.parametrize("outcome", [table.Outcome.NOT_DONE, table.Outcome.UNKNOWN])
-async def test_reads_that_fail_make_no_job_of_a_former_pool_a_second_one(
+async def test_failed_reads_do_not_duplicate_a_job_of_a_former_pool(
     site, monkeypatch, outcome
 ):
-    """What could be seen: one job's tasks run twice, in two pools.
+    """Guards against one job whose tasks run twice, in two pools.
 
-    How: a queue had moved to another pool, and a job came again that was accepted in
-    the former one. The look there failed, and the job was accepted in the new pool too.
-
-    Cause: a look that failed stood for a job that isn't there. No look decides any
-    more: the write itself finds the job.
+    A queue had moved to another pool, and a job that was accepted in the former one was
+    submitted again. The read of the former pool failed, which was taken for a missing
+    job, and the job was accepted in the new pool too. The write itself now finds the
+    job, and no read decides.
     """
     await site.handler.submit(QUEUE, JOB)
 
-    async def refuse(*given, **named):
+    async def fail_read(*args, **kwargs):
         return rows.Range(outcome, reason="down")
 
-    monkeypatch.setattr(site.store, "read", refuse)
-    answer = await site.handler.submit(MOVED, JOB)
+    monkeypatch.setattr(site.store, "read", fail_read)
+    answer = await site.handler.submit(MOVED_QUEUE, JOB)
 
     assert answer.verdict is message.Verdict.ACCEPTED
     other = pool_record.get_job_table("other")
@@ -97,7 +96,7 @@
     assert site.store.get(other, part, "j") is None
 
 
-async def test_not_run_is_only_said_of_what_was_certainly_not_written(site):
+async def test_not_run_is_only_returned_for_jobs_certainly_not_written(site):
     site.store.is_down = True
 
     answer = await site.handler.submit(QUEUE, JOB)
@@ -115,7 +114,7 @@
     assert answer.verdict is message.Verdict.ACCEPTED
 
 
-async def test_what_may_yet_be_written_is_never_called_not_run(site):
+async def test_a_job_that_may_still_be_written_is_never_reported_not_run(site):
     site.store.holds_back = 99
 
     answer = await site.handler.submit(QUEUE, JOB)
@@ -125,8 +124,8 @@
     assert site.store.get(TABLE, PART, "j") is not None
 
 
-async def test_a_store_out_of_reach_refuses_before_anything_is_sent(site):
-    site.is_lost = True
+async def test_requests_are_refused_without_a_call_while_the_store_is_unreachable(site):
+    site.is_store_unreachable = True
 
     answer = site.handler.find_queue("h", "/q/j")
 
@@ -142,7 +141,7 @@
     assert site.handler.find_queue("h", "/z").verdict is message.Verdict.NO_QUEUE
 
 
-async def test_a_cancelled_job_is_shown_so_and_marked_once(site):
+async def test_a_cancelled_job_is_shown_as_cancelled_and_marked_once(site):
     await site.handler.submit(QUEUE, JOB)
 
     for _ in range(2):
@@ -164,31 +163,33 @@
 
 
 @pytest.mark.parametrize("state", [model.JobState.COMPLETED, model.JobState.FAILED])
-async def test_a_final_state_that_was_noted_goes_before_a_cancellation(site, state):
+async def test_a_recorded_final_state_takes_precedence_over_a_later_cancellation(
+    site, state
+):
     await site.handler.submit(QUEUE, JOB)
-    noted = progress.Progress(JOB, 1, 0.0)
-    noted.final = state
-    value = record.write_progress(noted)
+    finished = progress.Progress(JOB, 1, 0.0)
+    finished.final = state
+    value = record.write_progress(finished)
     site.store.put(pool_record.PROGRESS_TABLE, "p", "j", value)
     await site.handler.cancel(QUEUE, "j")
 
     assert (await site.handler.show(QUEUE, "j")).state is state
 
 
-async def test_a_job_that_is_shown_as_cancelled_stays_so(site):
-    """What was seen: a cancelled job shown as cancelled, and then as completed.
+async def test_a_job_that_is_shown_as_cancelled_stays_cancelled(site):
+    """Guards against a job shown as cancelled and later as completed.
 
-    How: its last task ended while its leader hadn't heard of the cancellation, and what
-    the leader noted went first. Cause: which of two rows goes first was fixed, and not
-    by which was written first; their versions tell.
+    Its last task ended before its leader had learned of the cancellation. The leader's
+    row always took precedence, even if it was written after the cancellation; now the
+    versions of the two rows decide.
     """
     await site.handler.submit(QUEUE, JOB)
     await site.handler.cancel(QUEUE, "j")
     assert (await site.handler.show(QUEUE, "j")).state is model.JobState.CANCELLED
 
-    noted = progress.Progress(JOB, 1, 0.0)
-    noted.final = model.JobState.COMPLETED
-    value = record.write_progress(noted)
+    finished = progress.Progress(JOB, 1, 0.0)
+    finished.final = model.JobState.COMPLETED
+    value = record.write_progress(finished)
     site.store.put(pool_record.PROGRESS_TABLE, "p", "j", value)
 
     assert (await site.handler.show(QUEUE, "j")).state is model.JobState.CANCELLED
@@ -198,15 +199,15 @@
 async def test_an_end_and_a_cancellation_between_two_reads_are_shown_in_their_order(
     site, monkeypatch, ends_first
 ):
-    """What was seen: a job shown as cancelled, and then as completed.
+    """Guards against a job shown as cancelled and later as completed.
 
-    How: it ended and was cancelled while its rows were read. Cause: what is noted of a
-    job was held against a row of it that had changed since, or would before the end.
+    It ended and was cancelled while its rows were read. Its progress was compared with
+    a version of its own row that had changed since, or changed before the job ended.
     """
     await site.handler.submit(QUEUE, JOB)
-    noted = progress.Progress(JOB, 1, 0.0)
-    noted.final = model.JobState.COMPLETED
-    value = record.write_progress(noted)
+    finished = progress.Progress(JOB, 1, 0.0)
+    finished.final = model.JobState.COMPLETED
+    value = record.write_progress(finished)
     read = site.store.read
     steps = [
         lambda: site.store.put(pool_record.PROGRESS_TABLE, "p", "j", value),
@@ -215,17 +216,17 @@
         ),
     ]
 
-    async def change_around(name, *given, **named):
+    async def change_around(name, *args, **kwargs):
         if name == pool_record.PROGRESS_TABLE and steps and not ends_first:
             for step in reversed(steps):
                 step()
             steps.clear()
-        found = await read(name, *given, **named)
+        result = await read(name, *args, **kwargs)
         if name == pool_record.PROGRESS_TABLE:
             for step in steps:
                 step()
             steps.clear()
-        return found
+        return result
 
     monkeypatch.setattr(site.store, "read", change_around)
     shown = (await site.handler.show(QUEUE, "j")).state
@@ -235,12 +236,12 @@
     assert shown is expected
 
 
-async def test_a_job_nobody_submitted_is_missing(site):
+async def test_a_job_that_was_not_submitted_is_missing(site):
     assert (await site.handler.show(QUEUE, "j")).verdict is message.Verdict.MISSING
     assert (await site.handler.cancel(QUEUE, "j")).verdict is message.Verdict.MISSING
 
 
-async def test_a_store_that_is_away_makes_no_job_missing(site):
+async def test_no_job_is_reported_missing_while_the_store_is_down(site):
     site.store.is_down = True
 
     assert (await site.handler.show(QUEUE, "j")).verdict is message.Verdict.NOT_RUN
@@ -253,36 +254,36 @@
     assert (await site.handler.show(QUEUE, "j")).state is model.JobState.RUNNING
 
 
-async def test_the_count_is_what_the_leader_shows(site):
-    board = pool_record.PoolStatus({"q": 4, "other": 9})
-    value = pool_record.write_status(board)
+async def test_the_count_is_taken_from_the_pool_status(site):
+    status = pool_record.PoolStatus({"q": 4, "other": 9})
+    value = pool_record.write_status(status)
     site.store.put(pool_record.STATUS_TABLE, "p", pool_record.STATUS_TABLE, value)
 
     assert (await site.handler.count(QUEUE)).pending == 4
 
 
-def show_board(site, pool, **waiting):
+def publish_status(site, pool, **waiting):
     value = pool_record.write_status(pool_record.PoolStatus(waiting))
     site.store.put(pool_record.STATUS_TABLE, pool, pool_record.STATUS_TABLE, value)
 
 
-async def test_the_count_holds_what_waits_in_former_pools(site):
-    """What could be seen: a queue with 4 waiting jobs said that none waits.
+async def test_the_count_includes_jobs_that_wait_in_former_pools(site):
+    """Guards against a moved queue with 4 waiting jobs that reports none.
 
-    How: it had moved, and its jobs wait where they were accepted. Cause: only the
-    board of its present pool was read.
+    Its jobs wait in the pool where they were accepted, and only the status of the
+    queue's current pool was read.
     """
-    show_board(site, "p", q=4, r=1)
-    show_board(site, "other", q=2)
+    publish_status(site, "p", q=4, r=1)
+    publish_status(site, "other", q=2)
 
-    assert (await site.handler.count(MOVED)).pending == 6
-    show_board(site, "p", r=1)
-    assert (await site.handler.count(MOVED)).pending == 2
+    assert (await site.handler.count(MOVED_QUEUE)).pending == 6
+    publish_status(site, "p", r=1)
+    assert (await site.handler.count(MOVED_QUEUE)).pending == 2
 
 
-async def test_a_count_without_a_move_reads_one_board(site):
-    show_board(site, "p", q=4)
-    show_board(site, "other", r=9)
+async def test_a_count_without_a_move_reads_one_status(site):
+    publish_status(site, "p", q=4)
+    publish_status(site, "other", r=9)
     await site.handler.count(QUEUE)
     calls = site.store.calls
 
@@ -290,38 +291,38 @@
     assert site.store.calls == calls + 1
 
 
-async def test_a_count_is_refused_while_a_pool_that_holds_some_can_not_be_read(
+async def test_a_count_is_refused_while_a_pool_with_waiting_jobs_can_not_be_read(
     site, monkeypatch
 ):
-    show_board(site, "p", q=4)
-    show_board(site, "other", q=2)
-    await site.handler.count(MOVED)
+    publish_status(site, "p", q=4)
+    publish_status(site, "other", q=2)
+    await site.handler.count(MOVED_QUEUE)
     read = site.store.read
 
-    async def refuse(name, part, **named):
+    async def fail_read(name, part, **kwargs):
         if part == "p":
             return rows.Range(table.Outcome.UNKNOWN, reason="timeout")
-        return await read(name, part, **named)
+        return await read(name, part, **kwargs)
 
-    monkeypatch.setattr(site.store, "read", refuse)
+    monkeypatch.setattr(site.store, "read", fail_read)
 
-    assert (await site.handler.count(MOVED)).verdict is message.Verdict.NOT_RUN
+    assert (await site.handler.count(MOVED_QUEUE)).verdict is message.Verdict.NOT_RUN
 
 
 async def test_the_count_holds_what_a_replaced_route_has_accepted(site):
-    """Jobs that wait are counted for no queue once their route has another name."""
-    show_board(site, "p", q=4)
+    """Waiting jobs are counted for no queue once their route has another name."""
+    publish_status(site, "p", q=4)
 
     assert (await site.handler.count(QUEUE._replace(name="renamed"))).pending == 4
 
 
 async def test_a_job_of_a_dropped_queue_keeps_its_objective(site):
-    """It goes after all others of its pool, though its caller is owed it in time."""
+    """Without one it would run after all other jobs of its pool and end too late."""
     queue = QUEUE._replace(stretch=2.0, objective=3.0)
     await site.handler.submit(queue, JOB)
     read = record.read_job("j", site.store.get(TABLE, PART, "j"))
     times = view.TimeBounds(6.5, 1.0)
-    pool = core.Pool("p", 1, 1, times, 0.0, lambda *given, **named: None)
+    pool = core.Pool("p", 1, 1, times, 0.0, lambda *args, **kwargs: None)
     pool.on_job("j", read, 2, compaction.RowLocation(TABLE, PART))
 
     figures = pool.get_figures(pool.jobs["j"])
@@ -335,7 +336,7 @@
     return text.encode()
 
 
-async def test_a_configuration_never_goes_back(site):
+async def test_the_version_of_the_configuration_never_decreases(site):
     changes = []
     follower = configuration.ConfigurationFollower(
         site.store, lambda: changes.append(1)
@@ -351,21 +352,21 @@
     "between", [(), (b'{"version":2,"routes":[],"services":[]}',)], ids=["", "removed"]
 )
 async def test_a_queue_that_moves_keeps_the_jobs_of_its_former_pool(site, between):
-    """It came back in another pool, and a repeated job was accepted there as well."""
+    """A repeated job was accepted again in the pool to which the queue had moved."""
     follower = configuration.ConfigurationFollower(site.store, lambda: None)
     follower._apply_catalogue(make_configuration(1))
-    one = make_handler(site.store, follower)
-    await one.submit(one.find_queue("h", "/q/j"), JOB)
+    request_handler = make_handler(site.store, follower)
+    await request_handler.submit(request_handler.find_queue("h", "/q/j"), JOB)
     for value in (*between, make_configuration(3, "other")):
         follower._apply_catalogue(value)
-    moved = one.find_queue("h", "/q/j")
+    moved = request_handler.find_queue("h", "/q/j")
 
-    answer = await one.submit(moved, JOB)
+    answer = await request_handler.submit(moved, JOB)
 
     assert moved.pool == "other"
     assert answer.verdict is message.Verdict.ACCEPTED
     assert list_accepting_pools(site.store) == ["p"]
-    assert (await one.show(moved, "j")).state is model.JobState.QUEUED
+    assert (await request_handler.show(moved, "j")).state is model.JobState.QUEUED
 
 
 def make_handler(store, follower):
@@ -375,7 +376,7 @@
 
 
 def list_accepting_pools(store):
-    """Return the pools in which the job's row lies."""
+    """Return the pools in which there is a row of the job."""
     return [
         pool
         for pool in ("p", "other")
@@ -386,8 +387,8 @@
 
 
 @pytest.fixture
-def moved_handler(site):
-    """Make the handler of a daemon that has seen these configurations."""
+def make_moved_handler(site):
+    """Make the handler of a daemon that has seen a configuration for each pool."""
 
     def make(*pools):
         follower = configuration.ConfigurationFollower(site.store, lambda: None)
@@ -398,41 +399,44 @@
     return make
 
 
-async def test_a_daemon_that_restarted_takes_a_job_of_a_former_pool_no_second_time(
-    site, moved_handler
+async def test_a_restarted_daemon_does_not_accept_a_job_of_a_former_pool_again(
+    site, make_moved_handler
 ):
-    """What is seen: one job in two pools, whose leaders both start its tasks.
+    """Guards against one job in two pools, whose leaders both start its tasks.
 
-    How: its queue moved, and it comes again at a daemon that has only seen the
-    configuration since. Cause: where a queue was before is known by who has seen it.
+    Its queue had moved, and the job was submitted again to a daemon that had only seen
+    the newer configuration. Only daemons that had seen the earlier one knew the queue's
+    former pool.
     """
     await site.handler.submit(QUEUE, JOB)
 
-    await moved_handler("other").submit(MOVED, JOB)
+    await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
     assert list_accepting_pools(site.store) == ["p"]
 
 
-async def test_a_write_into_a_former_pool_after_the_look_makes_no_second_job(
-    site, moved_handler
+async def test_a_write_into_a_former_pool_after_the_read_makes_no_second_job(
+    site, make_moved_handler
 ):
-    """The same, by a write without an answer that is done after the look."""
+    """The same, caused by an unanswered write that is applied after the read."""
     site.store.holds_back = 1000
     await site.handler.submit(QUEUE, JOB)
     site.store.holds_back = 0
-    await moved_handler("p", "other").submit(MOVED, JOB)
+    await make_moved_handler("p", "other").submit(MOVED_QUEUE, JOB)
 
     site.store.apply_late()
 
     assert len(list_accepting_pools(site.store)) == 1
 
 
-async def test_a_late_write_fails_though_its_pool_had_been_noted(site, moved_handler):
+async def test_a_late_write_fails_although_its_pool_was_recorded(
+    site, make_moved_handler
+):
     await site.handler.submit(QUEUE, JOB._replace(id="first"))
     site.store.holds_back = 1000
     await site.handler.submit(QUEUE, JOB)
     site.store.holds_back = 0
-    answer = await moved_handler("other").submit(MOVED, JOB)
+    answer = await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
     site.store.apply_late()
 
@@ -442,11 +446,11 @@
 
 @pytest.mark.parametrize("moves", [29, 31, 40])
 async def test_a_late_write_fails_however_often_its_queue_has_moved_since(
-    site, moved_handler, moves
+    site, make_moved_handler, moves
 ):
-    """One job in two pools, by a write that was done late, 31 moves after it was sent.
+    """Guards against one job in two pools after a write applied late, 31 moves on.
 
-    Cause: the word of who accepted a job went to the 30 newest former pools only.
+    The marker of an accepted job was written to the 30 newest former pools only.
     """
     await site.handler.submit(QUEUE, JOB._replace(id="first"))
     site.store.holds_back = 1000
@@ -455,8 +459,8 @@
     for number in range(moves):
         pool = f"p{number}"
         other = JOB._replace(id=pool)
-        await moved_handler(pool).submit(QUEUE._replace(pool=pool), other)
-    answer = await moved_handler("other").submit(MOVED, JOB)
+        await make_moved_handler(pool).submit(QUEUE._replace(pool=pool), other)
+    answer = await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
     site.store.apply_late()
 
@@ -464,11 +468,11 @@
     assert list_accepting_pools(site.store) == ["other"]
 
 
-async def test_a_daemon_that_has_not_heard_of_a_move_accepts_no_job_again(
-    site, moved_handler
+async def test_a_daemon_that_is_not_aware_of_a_move_accepts_no_job_again(
+    site, make_moved_handler
 ):
     await site.handler.submit(QUEUE, JOB._replace(id="first"))
-    await moved_handler("other").submit(MOVED, JOB)
+    await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
     answer = await site.handler.submit(QUEUE, JOB)
 
@@ -477,19 +481,19 @@
 
 
 @pytest.mark.parametrize("late", [0, 1000], ids=["restart", "late"])
-async def test_a_job_of_a_former_pool_stays_one_where_the_store_takes_one_part(
-    site, moved_handler, late
+async def test_a_job_of_a_former_pool_stays_one_without_multi_part_transactions(
+    site, make_moved_handler, late
 ):
-    """What was seen: both failures of a moved queue as they once were.
+    """Guards against both failures of moved queues on a store with one-part writes.
 
-    How: a store that takes no transaction over several parts. Cause: the word in former
-    pools needed one, and where there are none it was left out.
+    The marker in former pools needed a transaction over several parts and was left out
+    on a store that doesn't support it.
     """
     site.store.is_across = False
     site.store.holds_back = late
     await site.handler.submit(QUEUE, JOB)
     site.store.holds_back = 0
-    answer = await moved_handler("other").submit(MOVED, JOB)
+    answer = await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
     site.store.apply_late()
 
@@ -497,7 +501,7 @@
     assert len(list_accepting_pools(site.store)) == 1
 
 
-async def test_a_job_is_kept_with_what_its_queue_asks_of_its_tasks(site):
+async def test_a_job_is_stored_with_its_queues_settings_for_its_tasks(site):
     queue = QUEUE._replace(max_attempts=4, advice=model.Advice(0.1, 0.0, 1.0))
 
     await site.handler.submit(queue, JOB)
@@ -506,15 +510,16 @@
     assert (job.attempts, job.is_advised) == (4, True)
 
 
-async def test_a_job_stays_one_after_its_route_was_replaced(site, moved_handler):
-    """One job in two pools: a route of another name and pool had taken over its path.
+async def test_a_job_stays_one_after_its_route_was_replaced(site, make_moved_handler):
+    """Guards against one job in two pools after a route was replaced by another one.
 
-    Cause: the pools of a job were known by the name of its queue. A caller repeats a
-    path, and an id names one job in whichever queue it arrives.
+    The new route had the same path but another name and pool, and the pools of a job
+    were looked up by the name of its queue. A caller repeats a path, and an id names
+    one job in whichever queue it arrives.
     """
     await site.handler.submit(QUEUE, JOB)
-    renamed = MOVED._replace(name="renamed")
-    restarted = moved_handler("other")
+    renamed = MOVED_QUEUE._replace(name="renamed")
+    restarted = make_moved_handler("other")
 
     answer = await restarted.submit(renamed, JOB)
 
@@ -525,58 +530,60 @@
     assert (await site.handler.show(QUEUE, "j")).state is model.JobState.CANCELLED
 
 
-async def test_a_daemon_that_restarted_shows_and_cancels_a_job_of_a_former_pool(
-    site, moved_handler
+async def test_a_restarted_daemon_shows_and_cancels_a_job_of_a_former_pool(
+    site, make_moved_handler
 ):
     await site.handler.submit(QUEUE, JOB)
-    restarted = moved_handler("other")
+    restarted = make_moved_handler("other")
 
-    assert (await restarted.show(MOVED, "j")).state is model.JobState.QUEUED
-    await restarted.cancel(MOVED, "j")
+    assert (await restarted.show(MOVED_QUEUE, "j")).state is model.JobState.QUEUED
+    await restarted.cancel(MOVED_QUEUE, "j")
     assert (await site.handler.show(QUEUE, "j")).state is model.JobState.CANCELLED
 
 
-async def test_a_job_is_not_missing_while_its_former_pools_are_unknown(
-    site, moved_handler, monkeypatch
+async def test_a_job_is_not_missing_while_its_holder_can_not_be_read(
+    site, make_moved_handler, monkeypatch
 ):
     read = site.store.read
 
-    async def refuse(name, *given, **named):
+    async def fail_read(name, *args, **kwargs):
         if name == pool_record.HOLDER_TABLE:
             return rows.Range(table.Outcome.UNKNOWN, reason="timeout")
-        return await read(name, *given, **named)
+        return await read(name, *args, **kwargs)
 
-    monkeypatch.setattr(site.store, "read", refuse)
+    monkeypatch.setattr(site.store, "read", fail_read)
 
-    answer = await moved_handler("other").show(MOVED, "j")
+    answer = await make_moved_handler("other").show(MOVED_QUEUE, "j")
 
     assert answer.verdict is message.Verdict.NOT_RUN
 
 
-async def test_daemons_that_note_a_pool_at_the_same_time_all_accept(
-    site, moved_handler
+async def test_daemons_that_accept_in_one_pool_at_the_same_time_all_succeed(
+    site, make_moved_handler
 ):
-    handlers = [moved_handler("p") for _ in range(5)]
+    handlers = [make_moved_handler("p") for _ in range(5)]
     verdicts = []
 
-    async def submit(one, id):
-        answer = await one.submit(QUEUE, JOB._replace(id=id))
+    async def submit(request_handler, id):
+        answer = await request_handler.submit(QUEUE, JOB._replace(id=id))
         verdicts.append(answer.verdict)
 
     async with anyio.create_task_group() as group:
-        for number, one in enumerate(handlers):
-            group.start_soon(submit, one, f"j{number}")
+        for number, request_handler in enumerate(handlers):
+            group.start_soon(submit, request_handler, f"j{number}")
 
     assert verdicts == [message.Verdict.ACCEPTED] * 5
 
 
-async def test_a_queue_that_moves_often_still_finds_its_first_jobs(site, moved_handler):
+async def test_a_queue_that_moves_often_still_finds_its_first_jobs(
+    site, make_moved_handler
+):
     await site.handler.submit(QUEUE, JOB)
     pools = [f"p{number}" for number in range(20)]
     for pool in pools:
         other = JOB._replace(id=pool)
-        await moved_handler(pool).submit(QUEUE._replace(pool=pool), other)
-    last = moved_handler(pools[-1])
+        await make_moved_handler(pool).submit(QUEUE._replace(pool=pool), other)
+    last = make_moved_handler(pools[-1])
 
     answer = await last.submit(QUEUE._replace(pool=pools[-1]), JOB)
 
@@ -584,40 +591,40 @@
     assert (await last.show(QUEUE._replace(pool=pools[-1]), "j")).state
 
 
-def count_parts(jobs):
-    """Return how many of so many jobs lie in the fullest part."""
+def count_jobs_in_fullest_part(jobs):
+    """Return the number of jobs in the fullest part."""
     parts = [pool_record.get_job_part(f"{number:016x}") for number in range(jobs)]
     return max(collections.Counter(parts).values())
 
 
-def test_a_burst_is_accepted_while_each_transaction_takes_long():
-    """100 jobs a second, and a store that takes 0.256 s for a transaction.
+def test_a_burst_is_accepted_while_transactions_are_slow():
+    """Guards against refusals at 100 jobs a second with transactions of 0.256 s.
 
-    What was seen: 134 to 183 submissions a second refused as busy. How: a part takes
-    four such transactions a second and refuses once four wait; 8 parts took 31 jobs.
+    134 to 183 submissions a second were refused as busy: a part takes four such
+    transactions a second and refuses more once four wait; 8 parts took 31 jobs.
     """
-    assert count_parts(100) <= 2 * 4
-    assert count_parts(300) / 3 <= 1.2 * 4
+    assert count_jobs_in_fullest_part(100) <= 2 * 4
+    assert count_jobs_in_fullest_part(300) / 3 <= 1.2 * 4
 
 
-async def test_a_job_that_is_tidied_between_two_reads_is_shown_as_it_ended(
+async def test_a_job_compacted_between_two_reads_is_shown_in_its_final_state(
     site, monkeypatch
 ):
-    """What was seen: a completed job shown as queued, after it was shown as completed.
+    """Guards against a completed job that is shown as completed and then as queued.
 
-    How: its row was read while it was open, its leader then shrunk the row and removed
-    that of its progress, and no progress was found. Cause: two rows that were read at
-    two moments were taken for one.
+    Its row was read before it was final. Its leader then compacted the row and removed
+    the progress row, so no progress was found. Two rows read at two moments were
+    treated as one consistent read.
     """
     await site.handler.submit(QUEUE, JOB)
     read = site.store.read
 
-    async def tidy_before(name, *given, **named):
+    async def compact_before(name, *args, **kwargs):
         if name == pool_record.PROGRESS_TABLE:
             final = record.write_final(model.JobState.COMPLETED, "p", 1)
             site.store.put(TABLE, PART, "j", final)
-        return await read(name, *given, **named)
+        return await read(name, *args, **kwargs)
 
-    monkeypatch.setattr(site.store, "read", tidy_before)
+    monkeypatch.setattr(site.store, "read", compact_before)
 
     assert (await site.handler.show(QUEUE, "j")).state is model.JobState.COMPLETED
