--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -96,7 +96,7 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM has been received."""
         return self.stopped.is_set()
 
     async def run(self) -> None:
