--- a/wigeonhitch/leadership/task.py
+++ b/wigeonhitch/leadership/task.py
@@ -139,7 +139,7 @@
             started_at = http.read_clock()
             if self._should_step_down(started_at):
                 log.log_change(
-                    "candidate no longer", candidates=self._count_live_members()
+                    "candidate no more", candidates=self._count_live_members()
                 )
             done = self.leadership.is_candidate and await self._renew()
             elapsed = http.read_clock() - started_at
--- a/wigeonhitch/pool/core.py
+++ b/wigeonhitch/pool/core.py
@@ -80,7 +80,7 @@
             self._confirm_start(run, now)
         elif verdict is workers.Verdict.UNKNOWN:
             run.state = vm.RunState.UNKNOWN
-            self.log_event("start not answered", **view.describe_run(run))
+            self.log_event("start without an answer", **view.describe_run(run))
         elif verdict is workers.Verdict.FENCED:
             self._depose(run.vm)
         elif verdict is workers.Verdict.GONE:
@@ -145,7 +145,7 @@
             end.end, now
         ):
             self.log_event(
-                "VM quarantined",
+                "VM set aside",
                 vm=machine.id,
                 until=round(machine.quarantined_until, 2),
             )
@@ -225,7 +225,7 @@
         """Log an orphaned run; with a live run of its task, the task runs twice."""
         own_run = self.live.get(entry.task)
         self.log_event(
-            "orphaned run listed",
+            "run listed that nobody wants",
             job=entry.task.job,
             task=entry.task[1:],
             run=entry.run,
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -312,7 +312,7 @@
         )
         if run.vm.record_degraded_run(now):
             until = round(run.vm.quarantined_until, 2)
-            self.log_event("VM quarantined", vm=run.vm.id, until=until, reason=reason)
+            self.log_event("VM set aside", vm=run.vm.id, until=until, reason=reason)
 
     def get_mean_work(self, queue: str) -> float:
         """Return the mean core-seconds of the queue's jobs seen so far."""
