--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -19,7 +19,9 @@
 
 def note_uncommitted_ends() -> None:
     """Tell workers that an end is noted before it is durable."""
-    vm.Vm.noted = property(lambda self: self.seen, lambda self, number: None)
+    vm.Vm.committed_end = property(
+        lambda self: self.processed_end, lambda self, number: None
+    )
 
 
 def skip_lapses() -> None:
@@ -60,7 +62,7 @@
 
 def stand_still_at_gone_rows() -> None:
     """Expect rows that a lost answer hid the removal of, for ever."""
-    ledger.Ledger._forget_gone = lambda self, spent: None
+    ledger.Ledger._drop_removed_rows = lambda self, dropped: None
     ledger.rows.list_gone = lambda conditions, found: ()
 
 
@@ -72,11 +74,11 @@
 def claim_by_owner_alone() -> None:
     """Claim a pool also beside a lease that was renewed meanwhile."""
 
-    def expect_vacant(self: Any, pool: str) -> tuple[Any, ...]:
+    def build_claim_conditions(self: Any, pool: str) -> tuple[Any, ...]:
         owner = self.owners.get(pool)
         return (record.expect_owner(pool, owner.version if owner else 0),)
 
-    leadership.Leadership.expect_vacant = expect_vacant
+    leadership.Leadership.build_claim_conditions = build_claim_conditions
 
 
 def order_after_the_end() -> None:
@@ -86,12 +88,12 @@
 
 def accept_without_condition() -> None:
     """Accept a job whether or not a pool holds it."""
-    original = acceptance._plan_rows
+    original = acceptance._build_transaction
 
     def plan_rows(*given: Any) -> Any:
         return original(*given)._replace(conditions=())
 
-    acceptance._plan_rows = plan_rows
+    acceptance._build_transaction = plan_rows
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -1,9 +1,9 @@
-"""One round of a leader's decisions: what to stop, start and slow down.
+"""One scheduling round of a leader: which runs to stop, start and slow down.
 
-The round is made after each change, at most some hundred times a second. Jobs
-are taken in the order of `order`; each task goes where `place` says. A step
-whose next task finds no room is left for the next round, so that a burst of
-waiting work costs one look a step and not one a task.
+A round follows each change, at most about a hundred times a second. Jobs are taken
+in the order of `priority`, and `placement` chooses the VM of each task. A step whose
+next task finds no room waits for the next round, so that a backlog costs one
+placement attempt per step and not one per task.
 """
 
 import collections
@@ -12,79 +12,79 @@
 from wigeonhitch.jobs import model, progress
 from wigeonhitch.platform import advice, workers
 from wigeonhitch.pool import (
-    board,
     core,
+    demand,
     health,
     message,
-    need,
-    order,
     pacing,
-    place,
+    placement,
+    priority,
+    status,
     vm,
 )
 from wigeonhitch.pool import record as pool_record
 
 __all__ = ["Planner"]
 
-STOP_AGAIN = 1.2
-"""Seconds after which a stop is sent again while the run is still listed; a
-stop takes up to 0.9 s."""
+STOP_RETRY_SECONDS = 1.2
+"""Seconds after which a stop is sent again if the run is still listed; a stop takes
+up to 0.9 s."""
 
 
-SCAN_PERIOD = 0.1
-"""Seconds between looks at all runs for those to be stopped, unless a job, a VM
-or a closing has changed: a pool of 40 VMs has some 600 runs."""
+SCAN_PERIOD_SECONDS = 0.1
+"""Seconds between scans of all runs for those to be stopped, unless a job, a VM or a
+closing has changed: a pool of 40 VMs has some 600 runs."""
 
 
 class Planner:
-    """Makes rounds for one pool.
+    """Plans the scheduling rounds of one pool.
 
     Parameters
     ----------
     pool : core.Pool
-        The leader's belief.
+        State of the pool's leader.
     """
 
     def __init__(self, pool: core.Pool) -> None:
         self.pool = pool
         self.unmet = 0
-        """Thousandths of a core that jobs in time ask for and don't get."""
-        self._arrivals = need.Arrivals(pool.times.move)
-        self._shown_room = 0
-        self._open: dict[str, list[model.Task]] = {}
+        """Millicores that jobs which can still be on time lack."""
+        self._arrivals = demand.Arrivals(pool.times.move_seconds)
+        self._published_capacity = 0
+        self._open_tasks: dict[str, list[model.Task]] = {}
         self._next_due: dict[str, float] = {}
-        self._figures: dict[str, order.Figures] = {}
+        self._sort_inputs: dict[str, priority.SortInputs] = {}
         self._next_scan = 0.0
-        self._lacking = 0
-        """VMs that lasting tasks lack to be apart."""
-        self._listed_elsewhere: frozenset[model.Task] = frozenset()
-        """Tasks of which a VM lists a run that isn't this leader's."""
+        self._missing_vms = 0
+        """Further VMs that lasting tasks need because of their spread limit."""
+        self._orphaned_tasks: frozenset[model.Task] = frozenset()
+        """Tasks of which a VM lists an orphaned run."""
 
-    def plan(self, now: float, wall: float) -> list[message.Start | message.Stop]:
-        """Return the orders to give now; their runs count as started.
+    def plan(self, now: float, wall_time: float) -> list[message.Start | message.Stop]:
+        """Return the orders to give now; the runs to start are recorded as starting.
 
         Parameters
         ----------
         now : float
-            This daemon's steady time.
-        wall : float
-            Seconds since 1970.
+            This daemon's monotonic time.
+        wall_time : float
+            Unix time.
         """
-        self.pool.wall = wall
-        self.pool.expire(now)
-        for work in self.pool.handed_in:
-            self._arrivals.note(work, now)
-        self.pool.handed_in.clear()
-        self._refresh(wall)
-        orders: list[message.Start | message.Stop] = self._stop_strays(now)
-        table = place.Table(self.pool.vms.values(), now)
-        orders.extend(self._plan_stops(table, now))
-        orders.extend(self._plan_starts(table, now, wall))
+        self.pool.wall_time = wall_time
+        self.pool.expire_leases(now)
+        for work in self.pool.submitted_work:
+            self._arrivals.record(work, now)
+        self.pool.submitted_work.clear()
+        self._refresh_jobs(wall_time)
+        orders: list[message.Start | message.Stop] = self._stop_orphans(now)
+        placer = placement.Placer(self.pool.vms.values(), now)
+        orders.extend(self._plan_stops(placer, now))
+        orders.extend(self._plan_starts(placer, now, wall_time))
         return orders
 
-    def plan_paces(self, one: vm.Vm) -> list[message.Pace]:
-        """Return the changes of pace of a VM's filling runs after an answer."""
-        running = [r for r in one.runs.values() if r.state is vm.RunState.RUNNING]
+    def plan_paces(self, machine: vm.Vm) -> list[message.Pace]:
+        """Return the changes of pace for a VM's filling runs after its answer."""
+        running = [r for r in machine.runs.values() if r.state is vm.RunState.RUNNING]
         filling = [run for run in running if run.step.fills]
         serving = [(run.load / 1000, run) for run in running if run.step.target]
         changes = []
@@ -94,112 +94,118 @@
                 changes.append(message.Pace(run, pace))
         return changes
 
-    def is_burst(self, now: float) -> bool:
-        """Whether more is handed in than the VMs last shown keep up with."""
-        return 1000 * self._arrivals.compute_rate(now) > self._shown_room
+    def exceeds_published_capacity(self, now: float) -> bool:
+        """Return whether arrivals exceed the capacity in the last status."""
+        return 1000 * self._arrivals.compute_rate(now) > self._published_capacity
 
-    def make_board(self, now: float, wall: float) -> pool_record.Board:
-        """Return what other daemons are shown."""
+    def build_status(self, now: float, wall_time: float) -> pool_record.PoolStatus:
+        """Return the status to publish to other daemons."""
         arriving = self._arrivals.compute_rate(now)
-        needed = need.compute_need(self._figures.values(), arriving, wall)
-        made = board.make_board(self.pool, self.unmet, needed)
-        self._shown_room = made.room
-        return made
+        demanded = demand.compute_demand(
+            self._sort_inputs.values(), arriving, wall_time
+        )
+        published = status.build_status(self.pool, self.unmet, demanded)
+        self._published_capacity = published.batch_capacity
+        return published
 
-    def count_empty(self) -> int:
-        """Return how many VMs that are to be vacated hold nothing any more."""
-        return len(board.list_empty(self.pool))
+    def count_empty_vms(self) -> int:
+        """Return the number of closed VMs that run nothing any more."""
+        return len(status.list_empty_vms(self.pool))
 
     # -- open tasks
 
-    def _refresh(self, wall: float) -> None:
-        """Compute the open tasks of changed jobs anew; settle cancelled ones."""
-        due = [id for id, when in self._next_due.items() if when <= wall]
-        changed, self.pool.changed = self.pool.changed | set(due), set()
+    def _refresh_jobs(self, wall_time: float) -> None:
+        """Recompute the open tasks of changed jobs, and finalize cancelled jobs."""
+        due = [id for id, next_due in self._next_due.items() if next_due <= wall_time]
+        changed, self.pool.changed_jobs = self.pool.changed_jobs | set(due), set()
         for id in changed:
             self._next_due.pop(id, None)
-            self._open.pop(id, None)
-            self._figures.pop(id, None)
+            self._open_tasks.pop(id, None)
+            self._sort_inputs.pop(id, None)
             state = self.pool.jobs.get(id)
             if state is None:
                 continue
             if state.cancelled or state.final is not None:
-                self._settle(state)
+                self._finalize_cancelled(state)
                 continue
-            self._open[id] = list(state.list_open(wall))
-            self._figures[id] = self.pool.get_figures(state)
-            if state.job.times and (when := state.compute_next_due(wall)):
-                self._next_due[id] = when
+            self._open_tasks[id] = list(state.list_open_tasks(wall_time))
+            self._sort_inputs[id] = self.pool.get_sort_inputs(state)
+            if state.job.times and (next_due := state.compute_next_due(wall_time)):
+                self._next_due[id] = next_due
 
-    def _settle(self, state: progress.Progress) -> None:
+    def _finalize_cancelled(self, state: progress.Progress) -> None:
         id = state.job.id
         if any(task.job == id for task in self.pool.live):
             return
-        if state.settled:
+        if state.is_final_durable:
             self.pool.forget_job(id)
             return
         if state.final is not None:
             return
         if self.pool.may_have_run(state):
-            self.pool.changed.add(id)
+            self.pool.changed_jobs.add(id)
             return
         state.final = model.JobState.CANCELLED
-        self.pool.ledger.mark(id)
+        self.pool.ledger.mark_dirty(id)
 
     # -- stops
 
-    def _plan_stops(self, table: place.Table, now: float) -> list[message.Stop]:
+    def _plan_stops(self, placer: placement.Placer, now: float) -> list[message.Stop]:
         if now < self._next_scan and not self.pool.must_scan:
             return []
         self.pool.must_scan = False
-        self._next_scan = now + SCAN_PERIOD
+        self._next_scan = now + SCAN_PERIOD_SECONDS
         stops = []
         for run in list(self.pool.live.values()):
             if run.state is vm.RunState.STOPPING:
-                if now - run.stop_sent > STOP_AGAIN:
+                if now - run.stop_sent > STOP_RETRY_SECONDS:
                     stops.append(self._stop(run, now))
             elif run.state is not vm.RunState.RUNNING:
                 continue
             elif (
                 not self.pool.is_wanted(run)
-                or self._must_vacate(run, table)
-                or self._is_sick(run, table, now)
+                or self._must_vacate(run, placer)
+                or self._must_restart_elsewhere(run, placer, now)
             ):
                 stops.append(self._stop(run, now))
         return stops
 
-    def _is_sick(self, run: vm.Run, table: place.Table, now: float) -> bool:
-        """Whether a run is to begin again elsewhere for its VM's sake."""
-        if run.task in self.pool.moved:
+    def _must_restart_elsewhere(
+        self, run: vm.Run, placer: placement.Placer, now: float
+    ) -> bool:
+        """Return whether a run must be restarted elsewhere as its VM is degraded."""
+        if run.task in self.pool.relocated:
             return False
         stuck = health.is_stuck(run)
         if not stuck and not self._is_slow(run, now):
             return False
-        what = "stands still" if stuck else "slow"
-        self.pool.note_sick(run, what, now)
-        elsewhere = table.choose(run.task, run.step, avoid=run.vm.id)
-        if elsewhere in (None, run.vm) and not (stuck and run.vm.is_set_aside(now)):
+        reason = "no progress" if stuck else "slow"
+        self.pool.record_degraded_run(run, reason, now)
+        elsewhere = placer.choose(run.task, run.step, avoid=run.vm.id)
+        if elsewhere in (None, run.vm) and not (stuck and run.vm.is_quarantined(now)):
             return False
-        self.pool.moved.add(run.task)
+        self.pool.relocated.add(run.task)
         self.pool.failed_on[run.task] = run.vm.id
         return True
 
     def _is_slow(self, run: vm.Run, now: float) -> bool:
-        """Whether a run crawls for its VM's sake, not its job's."""
+        """Return whether a run is slow because of its VM and not of its job."""
         if not health.is_slow(run, now):
             return False
-        run.vm.note_slow(run.task.job, now)
-        peers = [one for one in self.pool.live.values() if one.task[:3] == run.task[:3]]
-        slower = health.is_slower_than(run, peers)
+        run.vm.record_slow_job(run.task.job, now)
+        peers = [
+            other for other in self.pool.live.values() if other.task[:3] == run.task[:3]
+        ]
+        slower = health.is_slower_than_peers(run, peers)
         return run.vm.is_slow(now) if slower is None else slower
 
-    def _stop_strays(self, now: float) -> list[message.Start | message.Stop]:
+    def _stop_orphans(self, now: float) -> list[message.Start | message.Stop]:
         stops: list[message.Start | message.Stop] = []
-        for one in self.pool.vms.values():
-            for (task, number), sent in one.strays.items():
-                if now - sent > STOP_AGAIN:
-                    one.strays[task, number] = now
-                    stops.append(message.Stop(one, task, number))
+        for machine in self.pool.vms.values():
+            for (task, number), sent in machine.orphans.items():
+                if now - sent > STOP_RETRY_SECONDS:
+                    machine.orphans[task, number] = now
+                    stops.append(message.Stop(machine, task, number))
         return stops
 
     def _stop(self, run: vm.Run, now: float) -> message.Stop:
@@ -207,109 +213,113 @@
         run.stop_sent = now
         return message.Stop(run.vm, run.task, run.number)
 
-    def _must_vacate(self, run: vm.Run, table: place.Table) -> bool:
-        """Whether a lasting run is to be moved off a VM that goes away.
+    def _must_vacate(self, run: vm.Run, placer: placement.Placer) -> bool:
+        """Return whether a lasting run must leave its VM, which is closed or leaving.
 
-        No more of its step may be away than it may miss, whatever the cause,
-        but where a VM leaves by itself: there its tasks end in any case. Nothing
-        is stopped before there is room for it elsewhere.
+        The step keeps to its ``max_unavailable``, whatever the cause of the missing
+        tasks, unless the VM is leaving: there its tasks end in any case. Nothing is
+        stopped before there is room for it elsewhere.
         """
-        one = run.vm
-        if not run.step.lasting or not (one.closed or one.entry.leaving):
+        machine = run.vm
+        if not run.step.lasting or not (machine.closed or machine.entry.leaving):
             return False
-        others = self.pool.count_away(run.task.job, run.task.step)
+        unavailable = self.pool.count_unavailable(run.task.job, run.task.step)
         if not run.is_at_work:
-            others -= 1  # it may have come to work since it was last listed
-        if others + 1 > run.step.max_unavailable and not one.entry.leaving:
+            unavailable -= 1  # it may have become available since it was last listed
+        if unavailable + 1 > run.step.max_unavailable and not machine.entry.leaving:
             return False
-        return table.choose(run.task, run.step) is not None
+        return placer.choose(run.task, run.step) is not None
 
     # -- starts
 
     def _plan_starts(
-        self, table: place.Table, now: float, wall: float
+        self, placer: placement.Placer, now: float, wall_time: float
     ) -> list[message.Start]:
         starts: list[message.Start] = []
         self.unmet = 0
-        self._lacking = 0
-        self._listed_elsewhere = self.pool.list_stray_tasks()
+        self._missing_vms = 0
+        self._orphaned_tasks = self.pool.list_orphaned_tasks()
         keyed = [
-            (self._get_key(id, wall), id) for id, tasks in self._open.items() if tasks
+            (self._get_key(id, wall_time), id)
+            for id, tasks in self._open_tasks.items()
+            if tasks
         ]
         for key, id in sorted(keyed):
             state = self.pool.jobs[id]
             if self.pool.may_have_run(state):
                 continue
-            left = self._place_job(table, state, now, starts)
-            if key.group <= order.IN_TIME:
-                self.unmet += left
-        self.unmet = max(self.unmet, self._lacking * self._find_size())
+            unmet = self._place_job(placer, state, now, starts)
+            if key.group <= priority.ON_TIME:
+                self.unmet += unmet
+        self.unmet = max(self.unmet, self._missing_vms * self._get_largest_vm_cpu())
         return starts
 
-    def _find_size(self) -> int:
-        """Return the processors of the largest VM."""
-        return max((one.entry.room.cpu for one in self.pool.vms.values()), default=0)
+    def _get_largest_vm_cpu(self) -> int:
+        """Return the millicores of the largest VM."""
+        return max(
+            (machine.entry.room.cpu for machine in self.pool.vms.values()), default=0
+        )
 
     def _is_free(self, task: model.Task) -> bool:
-        """Whether no run of a task is known, be it ours or one being stopped."""
-        return task not in self.pool.live and task not in self._listed_elsewhere
+        """Return whether a task has neither a live nor an orphaned run."""
+        return task not in self.pool.live and task not in self._orphaned_tasks
 
-    def _get_key(self, id: str, wall: float) -> order.Key:
+    def _get_key(self, id: str, wall_time: float) -> priority.SortKey:
         queue = self.pool.jobs[id].job.queue
         mean_work = self.pool.get_mean_work(queue)
-        return order.compute_key(self._figures[id], wall, mean_work)
+        return priority.compute_sort_key(self._sort_inputs[id], wall_time, mean_work)
 
     def _place_job(
         self,
-        table: place.Table,
+        placer: placement.Placer,
         state: progress.Progress,
         now: float,
         starts: list[message.Start],
     ) -> int:
-        """Start what can be started; return the processors still asked for."""
+        """Start the tasks that fit; return the millicores that the others lack."""
         unmet = 0
-        full: set[tuple[int, int]] = set()
-        left: collections.Counter[int] = collections.Counter()
-        for task in self._open[state.job.id]:
+        full_steps: set[tuple[int, int]] = set()
+        unplaced: collections.Counter[int] = collections.Counter()
+        for task in self._open_tasks[state.job.id]:
             step = state.job.steps[task.step]
             if not self._is_free(task):
                 continue
-            if task[1:3] in full or step.reserved.cpu > table.widest:
-                left[task.step] += 1
+            if task[1:3] in full_steps or step.reserved.cpu > placer.max_free_cpu:
+                unplaced[task.step] += 1
                 unmet += step.reserved.cpu
                 continue
             if now < self.pool.not_before.get(task, 0.0):
                 continue
             if step.gang:
                 if task.index == 0:
-                    self._place_gang(table, state, task, now, starts)
+                    self._place_gang(placer, state, task, now, starts)
                 continue
-            start = self._place_task(table, state, task, now)
+            start = self._place_task(placer, state, task, now)
             if start is not None:
                 starts.append(start)
                 continue
-            full.add(task[1:3])
-            left[task.step] += 1
+            full_steps.add(task[1:3])
+            unplaced[task.step] += 1
             unmet += step.reserved.cpu
-        self._note_lacking(state, left)
+        self._record_missing_vms(state, unplaced)
         return unmet
 
-    def _note_lacking(
-        self, state: progress.Progress, left: collections.Counter[int]
+    def _record_missing_vms(
+        self, state: progress.Progress, unplaced: collections.Counter[int]
     ) -> None:
-        """Take note of the VMs that lasting tasks lack to be apart.
+        """Record how many further VMs a spread limit of lasting tasks requires.
 
-        Jobs share VMs, so the most that one of them lacks will do for all.
+        Jobs share VMs, so that the largest number required by a job suffices for all.
         """
-        for number, count in left.items():
+        for number, count in unplaced.items():
             step = state.job.steps[number]
             if step.lasting and step.spread:
                 vms = math.ceil(count / step.spread)
-                self._lacking = max(self._lacking, vms)
+                self._missing_vms = max(self._missing_vms, vms)
 
     def _place_task(
         self,
-        table: place.Table,
+        placer: placement.Placer,
         state: progress.Progress,
         task: model.Task,
         now: float,
@@ -318,44 +328,46 @@
         allowed = None if tickets is None else frozenset(tickets)
         avoid = self.pool.failed_on.get(task, "")
         step = state.job.steps[task.step]
-        chosen = table.choose(task, step, avoid=avoid, allowed=allowed)
+        chosen = placer.choose(task, step, avoid=avoid, allowed=allowed)
         if chosen is None:
             return None
-        number = self.pool.next_number(task)
-        held = tickets[chosen.id] if tickets else ""
-        return self._start(state, task, number, chosen, now, held)
+        number = self.pool.next_run_number(task)
+        ticket = tickets[chosen.id] if tickets else ""
+        return self._start(state, task, number, chosen, now, ticket)
 
     def _get_tickets(
         self, state: progress.Progress, task: model.Task, now: float
     ) -> dict[str, str] | None:
-        """Return the tickets of a task's step by VM; None if it needs none."""
+        """Return the tickets of a task's step by VM, or None if it needs none."""
         if not self.pool.needs_ticket(state):
             return None
         return self.pool.tickets.get(advice.StepName(*task[:3]), now)
 
     def _place_gang(
         self,
-        table: place.Table,
+        placer: placement.Placer,
         state: progress.Progress,
         first: model.Task,
         now: float,
         starts: list[message.Start],
     ) -> None:
-        """Start all members of a gang with one number, or none."""
+        """Start all members of a gang under one run number, or none."""
         step = state.job.steps[first.step]
         tasks = [first._replace(index=index) for index in range(step.count)]
         if not all(self._is_free(task) for task in tasks):
             return
-        racks = table.list_racks() if step.same_rack else [""]
+        racks = placer.list_racks() if step.same_rack else [""]
         tickets = self._get_tickets(state, first, now)
         allowed = None if tickets is None else frozenset(tickets)
         for rack in racks:
-            chosen = _choose_all(table, tasks, step, rack, allowed)
+            chosen = _choose_gang_vms(placer, tasks, step, rack, allowed)
             if chosen:
-                number = self.pool.next_gang_number(tasks)
-                for task, one in zip(tasks, chosen, strict=True):
-                    held = tickets[one.id] if tickets else ""
-                    starts.append(self._start(state, task, number, one, now, held))
+                number = self.pool.next_gang_run_number(tasks)
+                for task, machine in zip(tasks, chosen, strict=True):
+                    ticket = tickets[machine.id] if tickets else ""
+                    starts.append(
+                        self._start(state, task, number, machine, now, ticket)
+                    )
                 return
 
     def _start(
@@ -365,7 +377,7 @@
         number: int,
         chosen: vm.Vm,
         now: float,
-        held: str,
+        ticket: str,
     ) -> message.Start:
         step = state.job.steps[task.step]
         run = vm.Run(task, number, chosen, step, now)
@@ -373,25 +385,25 @@
         self.pool.live[task] = run
         checkpoint = state.get_checkpoint(task)
         start = workers.Start(
-            task, number, state.job.spec, 0.0, self.pool.fence, checkpoint, held
+            task, number, state.job.spec, 0.0, self.pool.fence, checkpoint, ticket
         )
         return message.Start(run, start)
 
 
-def _choose_all(
-    table: place.Table,
+def _choose_gang_vms(
+    placer: placement.Placer,
     tasks: list[model.Task],
     step: model.Step,
     rack: str,
     allowed: frozenset[str] | None,
 ) -> list[vm.Vm]:
-    """Choose a VM for each of the tasks, or return none and give room back."""
+    """Choose a VM for each of the tasks, or release all room and return none."""
     chosen: list[vm.Vm] = []
     for task in tasks:
-        one = table.choose(task, step, rack=rack, allowed=allowed)
-        if one is None:
+        machine = placer.choose(task, step, rack=rack, allowed=allowed)
+        if machine is None:
             for taken, earlier in zip(chosen, tasks, strict=False):
-                table.give_back(taken, earlier, step)
+                placer.release(taken, earlier, step)
             return []
-        chosen.append(one)
+        chosen.append(machine)
     return chosen
--- /dev/null
+++ b/wigeonhitch/pool/priority.py
@@ -0,0 +1,125 @@
+"""Order of the jobs of a pool that can't run all of them at once.
+
+Each queue has bursts of some seconds with five times its mean load, more than its
+pool holds, in which first come, first served makes nearly all jobs late. Jobs are
+therefore ordered by core-seconds per unit of value, and those that can't be on time
+any more come later. In a model this completed 0.14 of the value on time, against
+0.04 for first come, first served and 0.05 for earliest deadline first; with pools
+that follow demand 0.62, against 0.27 and 0.31.
+"""
+
+from typing import NamedTuple
+
+from wigeonhitch.jobs import model, progress
+
+__all__ = [
+    "SortInputs",
+    "SortKey",
+    "compute_due",
+    "compute_sort_inputs",
+    "compute_sort_key",
+    "compute_value",
+]
+
+BASE_VALUE = 0.3
+"""Part of a job's value that doesn't depend on its size (users' rules)."""
+
+MAX_LATENESS = 3.0
+"""Multiple of its objective after which a job has no value (users' rules)."""
+
+MAX_JOB_VALUE = 4.0
+"""Largest value of a job, as a multiple of its queue's mean value (users' rules)."""
+
+LASTING, ON_TIME, LATE, EXPIRED = 0, 1, 2, 3
+
+
+class SortKey(NamedTuple):
+    """Sort key: lasting jobs first, then jobs on time, late jobs and expired jobs."""
+
+    group: int
+    priority: int
+    cost: float
+    """Core-seconds per unit of value."""
+    accepted: float
+
+
+class SortInputs(NamedTuple):
+    """Inputs of a job's sort key.
+
+    ``due`` and ``expiry`` are the Unix times until which the job is on time and has
+    any value. Work is in core-seconds, ``critical_path_left`` in seconds.
+    """
+
+    is_lasting: bool
+    priority: int
+    accepted: float
+    due: float
+    expiry: float
+    work: float
+    work_left: float
+    critical_path_left: float
+
+
+def compute_value(work: float, mean_work: float) -> float:
+    """Return a job's value, relative to the mean of its queue."""
+    if mean_work <= 0:
+        return 1.0
+    relative_work = work / mean_work
+    return min(MAX_JOB_VALUE, BASE_VALUE + (1 - BASE_VALUE) * relative_work)
+
+
+def compute_due(
+    job: model.Job, terms: model.Queue | model.Terms, accepted: float
+) -> float:
+    """Return the Unix time at which the job is due."""
+    return accepted + terms.stretch * job.compute_critical_path() + terms.objective
+
+
+def compute_sort_inputs(
+    state: progress.Progress, terms: model.Queue | model.Terms
+) -> SortInputs:
+    """Return the inputs of a job's sort key; they hold until the job changes."""
+    job = state.job
+    accepted = max(job.first_due, state.accepted) if job.times else state.accepted
+    due = compute_due(job, terms, accepted)
+    return SortInputs(
+        job.is_lasting,
+        terms.priority,
+        accepted,
+        due,
+        accepted + MAX_LATENESS * (due - accepted),
+        job.compute_work(),
+        _compute_work_left(state),
+        _compute_critical_path_left(state),
+    )
+
+
+def compute_sort_key(inputs: SortInputs, wall_time: float, mean_work: float) -> SortKey:
+    """Return the sort key of a job at a Unix time."""
+    if inputs.is_lasting:
+        return SortKey(LASTING, inputs.priority, 0.0, inputs.accepted)
+    cost = inputs.work_left / compute_value(inputs.work, mean_work)
+    end = wall_time + inputs.critical_path_left
+    group = EXPIRED
+    if end <= inputs.due:
+        group = ON_TIME
+    elif end <= inputs.expiry:
+        group = LATE
+    return SortKey(group, inputs.priority, cost, inputs.accepted)
+
+
+def _compute_work_left(state: progress.Progress) -> float:
+    left = 0.0
+    for number, step in enumerate(state.job.steps):
+        done = len(state.done.get((0, number), ()))
+        left += (step.count - done) * step.estimate * step.room.cpu / 1000
+    return left
+
+
+def _compute_critical_path_left(state: progress.Progress) -> float:
+    ends: list[float] = []
+    for number, step in enumerate(state.job.steps):
+        start = max((ends[earlier] for earlier in step.after), default=0.0)
+        left = 0.0 if state.is_step_done(0, number) else step.estimate
+        ends.append(start + left)
+    return max(ends, default=0.0)
