--- a/wigeonhitch/fleet/move.py
+++ b/wigeonhitch/fleet/move.py
@@ -83,7 +83,7 @@
     A buffer is a pool that requires no VM to be up. It lends VMs first to pools
     that hold fewer VMs than must be up, then to pools without a spare VM of
     their own: one VM each, for as long as a running wave has VMs of the pool
-    pending or stopped. A borrowed VM moves from one pool straight to the next
+    pending or under a stop. A borrowed VM moves from one pool straight to the next
     without returning to the buffer, which takes one move per pool, the lower
     bound. No pool borrows a second VM while another waits for its first.
     """
@@ -94,14 +94,14 @@
         for pool in pools.values()
         if pool.size and not budget.required(pool)
     }
-    held = collections.Counter(
+    current_sizes = collections.Counter(
         row.target or row.pool for row in snapshot.view.vms.values()
     )
     for name, pool in pools.items():
         buffer = buffers.get(pool.kind)
-        lost = budget.required(pool) - held[name]
-        if buffer and lost > 0:
-            sizes[buffer] -= min(lost, sizes[buffer])
+        shortfall = budget.required(pool) - current_sizes[name]
+        if buffer and shortfall > 0:
+            sizes[buffer] -= min(shortfall, sizes[buffer])
     borrowers = list_borrowers(snapshot)
     weights = snapshot.document.weights
     # Lending a second VM, which no other pool waits for, shortens the roll-out
