--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -39,7 +39,7 @@
     loop = routing_loop.Loop(seed=seed, policy=policy)
     size = [0]
 
-    def weigh(tell: action.Tell) -> None:
+    def weigh(tell: action.SendMessages) -> None:
         size[0] += sum(routing_decisions.count_bytes(each) for each in tell.messages)
 
     loop.on_message = weigh
@@ -69,7 +69,7 @@
     """Print waits while the counting daemon is lost, for 5 s from 5 s on."""
     print("\np99 wait (ms) at 90% of requests that arrive in the 5 s of a fault")
     print("fault       policy      " + "".join(f"  seed {seed}" for seed in SEEDS))
-    owner, own = link.Policy.OWNER, link.Policy.OWN_COUNTS
+    owner, own = link.Policy.OWNER, link.Policy.LOCAL_COUNTS
     for fault, policy in (
         ("none", owner),
         ("kill", owner),
--- a/benchmarks/routing_decisions.py
+++ b/benchmarks/routing_decisions.py
@@ -63,10 +63,12 @@
     for daemons in (9, 60, 220):
         members = [f"d{n}" for n in range(daemons)]
         kept = sum(
-            rendezvous.limit_connections("vm", own, members, 52) for own in members
+            rendezvous.compute_connection_limit("vm", own, members, 52)
+            for own in members
         )
         own_counts = sum(
-            rendezvous.limit_connections("vm", own, members, 60) for own in members
+            rendezvous.compute_connection_limit("vm", own, members, 60)
+            for own in members
         )
         print(f"{daemons:7} {kept:10} {kept + 8:18} {own_counts:14}")
 
@@ -120,7 +122,7 @@
         begin = time.process_time()
         actions = asker.handle(arrival, now)
         spent[0] += time.process_time() - begin
-        told = [act for act in actions if isinstance(act, action.Tell)]
+        told = [act for act in actions if isinstance(act, action.SendMessages)]
         if isinstance(told[0].messages[0], peer.Report):
             welcome = event.Received(remote[pool], (peer.Welcome(pool),))
             asker.handle(welcome, now)
@@ -131,7 +133,7 @@
             actions = asker.handle(event.Received(remote[pool], (grant,)), now)
             spent[1] += time.process_time() - begin
         send = next(act for act in actions if isinstance(act, action.Send))
-        end = event.Answered(number, send.attempt, verdict.ran(), 0.05)
+        end = event.AttemptEnded(number, send.attempt, verdict.ran(), 0.05)
         begin = time.process_time()
         asker.handle(end, now)
         spent[2] += time.process_time() - begin
--- a/benchmarks/routing_loop.py
+++ b/benchmarks/routing_loop.py
@@ -80,7 +80,7 @@
         self.done: dict[int, Done] = {}
         self.runs: collections.Counter[int] = collections.Counter()
         self.counts: collections.Counter[str] = collections.Counter()
-        self.on_message: Callable[[action.Tell], None] | None = None
+        self.on_message: Callable[[action.SendMessages], None] | None = None
         self.on_action: Callable[[str, action.Action], None] | None = None
         self._heap: list[tuple[float, int, Callable, tuple]] = []
         self._count = 0
@@ -267,7 +267,9 @@
         opened = self._open.pop((daemon, send.attempt), None)
         if opened is not None:
             seconds = self.now - opened[1]
-            what = event.Answered(send.request, send.attempt, result, seconds, failed)
+            what = event.AttemptEnded(
+                send.request, send.attempt, result, seconds, failed
+            )
             self.give(daemon, what)
 
     # Workers.
--- a/standins/demo/without.py
+++ b/standins/demo/without.py
@@ -26,7 +26,7 @@
         del key
         return await self._dispatch.serve(*given)
 
-    guard.Guard.serve = serve
+    guard.IdempotencyGuard.serve = serve
 
 
 def skip_send_window() -> None:
@@ -51,10 +51,10 @@
     original = dispatcher.Dispatcher.serve
     refused = verdict.not_run(verdict.Reason.DEADLINE)
 
-    async def serve(self: Any, *given: Any) -> dispatcher.Final:
+    async def serve(self: Any, *given: Any) -> dispatcher.FinalAnswer:
         final = await original(self, *given)
         if final.verdict.ran is verdict.Ran.MAYBE:
-            return dispatcher.Final(refused, None)
+            return dispatcher.FinalAnswer(refused, None)
         return final
 
     dispatcher.Dispatcher.serve = serve
--- a/wigeonhitch/daemon/assembly.py
+++ b/wigeonhitch/daemon/assembly.py
@@ -152,7 +152,9 @@
         )
         self.front = application.Application(
             self.dispatch,
-            guard.Guard(self.claims, self.dispatch, self.clock, self.tracing),
+            guard.IdempotencyGuard(
+                self.claims, self.dispatch, self.clock, self.tracing
+            ),
             lambda: self.catalogue if self.is_ready() else None,
             self.is_ready,
             lambda: not self.stopping,
@@ -251,15 +253,15 @@
         for daemons that have one.
         """
         self.stopping = True
-        log.log_change("stopping", held=self.dispatch.held)
+        log.log_change("stopping", held=self.dispatch.held_requests)
         self.dispatch.apply(event.Stopping())
         limit = self.settings.daemon.stop_within
         with anyio.move_on_after(limit):
-            while self.dispatch.held or not self.routing.is_idle:
+            while self.dispatch.held_requests or not self.routing.is_idle:
                 await anyio.sleep(0.02)
             await self.claims.flush(limit / 4)
             await self.holder.leave(limit / 4)
-        log.log_change("stopped", held=self.dispatch.held)
+        log.log_change("stopped", held=self.dispatch.held_requests)
 
     def _hear_store(self, asked: float) -> None:
         self.membership.hear_store(asked)
@@ -299,7 +301,9 @@
         self.watcher.set_peers(tuple(sorted(alive - {self.me.daemon})))
 
     def _change_send_right(self, held: bool) -> None:
-        self.dispatch.apply(event.SendRestored() if held else event.SendLapsed())
+        self.dispatch.apply(
+            event.SendRightRestored() if held else event.SendRightLapsed()
+        )
 
     async def _sweep(self) -> None:
         self.holder.want(sweeper.DUTY)
--- a/wigeonhitch/daemon/exchange.py
+++ b/wigeonhitch/daemon/exchange.py
@@ -59,7 +59,7 @@
         self._documents = documents
         self._tracing = tracing
 
-    def tell(self, told: action.Tell, traces: tuple[str, ...]) -> None:
+    def tell(self, told: action.SendMessages, traces: tuple[str, ...]) -> None:
         """Send slot messages, with the contexts of the traced requests."""
         packed = slots.pack(told.messages, traces)
         self._membership.tell(told.daemon, packed, "slots")
--- a/wigeonhitch/daemon/following.py
+++ b/wigeonhitch/daemon/following.py
@@ -59,6 +59,6 @@
             now = self._workers.describe()
             if now != before:
                 self._holder.hurry()
-            await self._outlet.forget(self._workers.addresses)
+            await self._outlet.close_unlisted(self._workers.addresses)
             with anyio.move_on_after(DRAIN_PERIOD if now.busy else FLEET_PERIOD):
                 await self._moved.wait()
--- a/wigeonhitch/daemon/status.py
+++ b/wigeonhitch/daemon/status.py
@@ -32,7 +32,7 @@
         "fleet_revision": drains.fleet_revision,
         "unusable_vms": list(drains.unusable),
         "vms_draining_here": list(drains.busy),
-        "held_requests": daemon.dispatch.held,
+        "held_requests": daemon.dispatch.held_requests,
         "daemons": {
             name: {
                 "vm": row.get("vm", ""),
--- a/wigeonhitch/front/application.py
+++ b/wigeonhitch/front/application.py
@@ -82,7 +82,7 @@
     Parameters
     ----------
     dispatch : dispatcher.Dispatcher
-    claims : guard.Guard
+    claims : guard.IdempotencyGuard
         Runs keyed requests at most once.
     find_catalogue : callable
         Returns the `Catalogue` in force, or None when the daemon isn't ready.
@@ -100,7 +100,7 @@
     def __init__(
         self,
         dispatch: dispatcher.Dispatcher,
-        claims: guard.Guard,
+        claims: guard.IdempotencyGuard,
         find_catalogue: Callable[[], Catalogue | None],
         is_ready: Callable[[], bool],
         is_alive: Callable[[], bool],
@@ -187,7 +187,7 @@
 
     async def _serve(
         self, call: _Call, arrived: event.Arrived, hop: trace.Hop, receive: Any
-    ) -> dispatcher.Final:
+    ) -> dispatcher.FinalAnswer:
         key = call.headers.get(KEY_HEADER, "")
         is_keyed = bool(key) and not arrived.idempotent
         context = hop.headers.get("traceparent", "")
--- a/wigeonhitch/front/dispatcher.py
+++ b/wigeonhitch/front/dispatcher.py
@@ -16,10 +16,10 @@
 from wigeonhitch.front import reply, sender
 from wigeonhitch.routing import action, core, event, peer
 
-__all__ = ["Dispatcher", "Final", "Ticket"]
+__all__ = ["Dispatcher", "FinalAnswer", "Ticket"]
 
 
-class Final(NamedTuple):
+class FinalAnswer(NamedTuple):
     """The final answer of one request; ``answer`` is None without a worker's."""
 
     verdict: verdict.Verdict
@@ -65,7 +65,7 @@
     clock : callable
         Seconds on the clock that counts suspension.
     tell : callable
-        Sends an `action.Tell` to a peer, with the trace contexts of the
+        Sends an `action.SendMessages` to a peer, with the trace contexts of the
         requests it asks for; must not block.
     find_address : callable
         Returns the address of a VM, or None.
@@ -79,7 +79,7 @@
         decisions: core.Core,
         outlet: sender.Sender,
         clock: Callable[[], float],
-        tell: Callable[[action.Tell, tuple[str, ...]], None],
+        tell: Callable[[action.SendMessages, tuple[str, ...]], None],
         find_address: Callable[[str], str | None],
         may_send: Callable[[], bool],
     ) -> None:
@@ -96,7 +96,7 @@
         self._due = math.inf
 
     @property
-    def held(self) -> int:
+    def held_requests(self) -> int:
         """Requests between arrival and the end of their last attempt."""
         return len(self._pending)
 
@@ -112,7 +112,7 @@
         request: sender.Attempt,
         pending: Ticket,
         on_send: Callable[[], verdict.Verdict | None] | None = None,
-    ) -> Final:
+    ) -> FinalAnswer:
         """Serve one request from arrival to final answer.
 
         Parameters
@@ -143,7 +143,7 @@
                 self._end_unsent(number, send)
             del self._pending[number]
         final = pending.answer
-        return Final(final.verdict, replies.get(final.attempt))
+        return FinalAnswer(final.verdict, replies.get(final.attempt))
 
     def leave(self, pending: Ticket) -> None:
         """Note that the caller has left; its place in the queue is freed."""
@@ -188,7 +188,7 @@
             replies[send.attempt] = result.answer
             took = self._clock() - began
             self._handle(
-                event.Answered(
+                event.AttemptEnded(
                     number, send.attempt, result.verdict, took, result.failed
                 )
             )
@@ -219,18 +219,18 @@
 
     def _end_unsent(self, number: int, send: action.Send) -> None:
         unsent = verdict.not_run(verdict.Reason.CANCELLED)
-        self._handle(event.Answered(number, send.attempt, unsent, 0.0))
+        self._handle(event.AttemptEnded(number, send.attempt, unsent, 0.0))
 
     def _handle(self, given: event.Event) -> None:
         for one in self._core.handle(given, self._clock()):
-            if isinstance(one, action.Tell):
+            if isinstance(one, action.SendMessages):
                 self._tell(one, self._find_traces(one))
             elif (pending := self._pending.get(one.request)) is not None:
                 self._pass_on(one, pending)
         if self._find_due() < self._due:
             self._timer_changed.set()
 
-    def _find_traces(self, told: action.Tell) -> tuple[str, ...]:
+    def _find_traces(self, told: action.SendMessages) -> tuple[str, ...]:
         found = []
         for one in told.messages:
             if isinstance(one, peer.Ask):
--- a/wigeonhitch/front/guard.py
+++ b/wigeonhitch/front/guard.py
@@ -10,10 +10,10 @@
 from wigeonhitch.routing import event
 from wigeonhitch.telemetry import trace
 
-__all__ = ["Guard"]
+__all__ = ["IdempotencyGuard"]
 
 
-class Guard:
+class IdempotencyGuard:
     """Runs requests with an idempotency key at most once.
 
     Parameters
@@ -43,7 +43,7 @@
         arrived: event.Arrived,
         request: sender.Attempt,
         ticket: dispatcher.Ticket,
-    ) -> dispatcher.Final:
+    ) -> dispatcher.FinalAnswer:
         """Serve one keyed request: claim, send, settle."""
         with self._tracing.open_hop("claim", dict(request.headers)) as hop:
             acquired = await self._claims.acquire(
@@ -55,7 +55,7 @@
             )
             hop.span.set_attribute("claim", acquired.kind.value)
         if acquired.kind is not decision.Kind.GRANTED:
-            return dispatcher.Final(acquired.told, _to_reply(acquired.answer))
+            return dispatcher.FinalAnswer(acquired.told, _to_reply(acquired.answer))
         claim = acquired.claim
         try:
             final = await self._dispatch.serve(
@@ -74,7 +74,7 @@
             return None
         return verdict.not_run(verdict.Reason.DEADLINE)
 
-    async def _settle(self, claim: store.Claim, final: dispatcher.Final) -> None:
+    async def _settle(self, claim: store.Claim, final: dispatcher.FinalAnswer) -> None:
         if final.verdict.ran is verdict.Ran.NO:
             await self._claims.release(claim)
         elif final.verdict.ran is verdict.Ran.YES and final.answer is not None:
--- a/wigeonhitch/front/sender.py
+++ b/wigeonhitch/front/sender.py
@@ -173,7 +173,7 @@
             outlet = self._outlets[attempt.address] = _Outlet(client, attempt.kept)
         return outlet
 
-    async def forget(self, addresses: frozenset[str]) -> None:
+    async def close_unlisted(self, addresses: frozenset[str]) -> None:
         """Close the unused clients of workers that are no longer listed."""
         for address, outlet in list(self._outlets.items()):
             if address not in addresses and not outlet.in_use:
--- a/wigeonhitch/front/tests/conftest.py
+++ b/wigeonhitch/front/tests/conftest.py
@@ -59,7 +59,9 @@
         self.catalogue = application.Catalogue({"match": entry}, {"urgent": 5.0})
         self.application = application.Application(
             self.dispatch,
-            guard.Guard(self.claims, self.dispatch, client.read_clock, TRACING),
+            guard.IdempotencyGuard(
+                self.claims, self.dispatch, client.read_clock, TRACING
+            ),
             lambda: self.catalogue if self.ready else None,
             lambda: self.ready,
             lambda: self.alive,
--- a/wigeonhitch/front/tests/test_application.py
+++ b/wigeonhitch/front/tests/test_application.py
@@ -90,9 +90,9 @@
     async with anyio.create_task_group() as group:
         group.start_soon(lambda: front.ask("GET", left=left))
         await anyio.wait_all_tasks_blocked()
-        assert front.dispatch.held == 1
+        assert front.dispatch.held_requests == 1
         left.set()
-    assert front.dispatch.held == 0
+    assert front.dispatch.held_requests == 0
 
 
 async def test_attempt_with_a_key_goes_on_when_its_caller_leaves(front):
@@ -141,7 +141,7 @@
         504,
         "may have run",
     )
-    assert front.dispatch.held == 0
+    assert front.dispatch.held_requests == 0
 
 
 async def test_trace_context_goes_on_to_the_worker(front):
--- a/wigeonhitch/routing/action.py
+++ b/wigeonhitch/routing/action.py
@@ -5,13 +5,13 @@
 from wigeonhitch import verdict
 from wigeonhitch.routing import peer
 
-__all__ = ["Abort", "Action", "Answer", "Send", "Tell"]
+__all__ = ["Abort", "Action", "Answer", "Send", "SendMessages"]
 
 
 class Send(NamedTuple):
     """Send a request to a worker now.
 
-    The doer ends every one with exactly one `event.Answered`.
+    The doer ends every one with exactly one `event.AttemptEnded`.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
     attempt: int
 
 
-class Tell(NamedTuple):
+class SendMessages(NamedTuple):
     """Send messages to another daemon, in order, in one frame.
 
     They may be lost, but must not be reordered or repeated on one connection.
@@ -59,4 +59,4 @@
     messages: tuple[peer.Message, ...]
 
 
-Action = Send | Answer | Abort | Tell
+Action = Send | Answer | Abort | SendMessages
--- a/wigeonhitch/routing/core.py
+++ b/wigeonhitch/routing/core.py
@@ -40,7 +40,7 @@
 
     Examples
     --------
-    >>> core = Core("a", seed=1, policy=link.Policy.OWN_COUNTS)
+    >>> core = Core("a", seed=1, policy=link.Policy.LOCAL_COUNTS)
     >>> view = {"lookup": (event.Worker("vm1"),)}
     >>> core.handle(event.ViewChanged(1, view), 0.0)
     []
@@ -48,7 +48,7 @@
     >>> [send] = core.handle(arrival, 0.0)
     >>> send.vm
     'vm1'
-    >>> end = event.Answered(7, send.attempt, verdict.ran(), 0.05)
+    >>> end = event.AttemptEnded(7, send.attempt, verdict.ran(), 0.05)
     >>> [answer] = core.handle(end, 0.05)
     >>> answer.verdict.ran
     <Ran.YES: 'ran'>
@@ -77,15 +77,15 @@
         self._handlers = {
             event.Arrived: self._admit,
             event.Cancelled: self._cancel,
-            event.Answered: self._end_attempt,
+            event.AttemptEnded: self._end_attempt,
             event.Received: self._receive,
             event.ViewChanged: self._change_view,
             event.MembersChanged: self._change_members,
             event.UrgenciesChanged: self._change_urgencies,
             event.TeamsChanged: self._change_teams,
             event.Stopping: self._stop,
-            event.SendLapsed: self._lapse,
-            event.SendRestored: self._restore,
+            event.SendRightLapsed: self._lapse,
+            event.SendRightRestored: self._restore,
         }
 
     def handle(self, what: event.Event, now: float) -> list[action.Action]:
@@ -148,7 +148,7 @@
         if worker is None:
             return 0
         spare = max(0, worker.connections - worker.slots)
-        return rendezvous.limit_connections(vm, self._own, self._members, spare)
+        return rendezvous.compute_connection_limit(vm, self._own, self._members, spare)
 
     # What borrowers need (`borrower.Port`).
 
@@ -171,7 +171,7 @@
         the workers; one of them at least, since no request may be stranded.
         """
         limits = {
-            vm: rendezvous.limit_connections(
+            vm: rendezvous.compute_connection_limit(
                 vm, self._own, self._members, self._workers[vm].connections
             )
             for vm in vms
@@ -196,7 +196,7 @@
     def _cancel(self, what: event.Cancelled) -> None:
         self._pending.cancel(what.request, self._now)
 
-    def _end_attempt(self, end: event.Answered) -> None:
+    def _end_attempt(self, end: event.AttemptEnded) -> None:
         self._pending.end_attempt(end, self._now)
 
     # Peers.
@@ -248,10 +248,10 @@
         self._pending.stop()
         self._tell_all(self._counting.stop())
 
-    def _lapse(self, what: event.SendLapsed) -> None:
+    def _lapse(self, what: event.SendRightLapsed) -> None:
         self._pending.lapse(self._now)
 
-    def _restore(self, what: event.SendRestored) -> None:
+    def _restore(self, what: event.SendRightRestored) -> None:
         self._pending.restore()
 
     # Time.
@@ -268,6 +268,6 @@
         self._asking.renew(self._now)
         actions = self._pending.take_actions()
         for daemon, messages in self._outbox.items():
-            actions.append(action.Tell(daemon, tuple(messages)))
+            actions.append(action.SendMessages(daemon, tuple(messages)))
         self._outbox = {}
         return actions
--- a/wigeonhitch/routing/event.py
+++ b/wigeonhitch/routing/event.py
@@ -11,14 +11,14 @@
 from wigeonhitch.routing import peer
 
 __all__ = [
-    "Answered",
+    "AttemptEnded",
     "Arrived",
     "Cancelled",
     "Event",
     "MembersChanged",
     "Received",
-    "SendLapsed",
-    "SendRestored",
+    "SendRightLapsed",
+    "SendRightRestored",
     "Stopping",
     "TeamsChanged",
     "Tick",
@@ -62,7 +62,7 @@
     request: int
 
 
-class Answered(NamedTuple):
+class AttemptEnded(NamedTuple):
     """An attempt has ended.
 
     Exactly one follows every `action.Send`, also after an `action.Abort`, and
@@ -158,18 +158,18 @@
     """A planned stop: refuse what is new, finish what was accepted."""
 
 
-class SendLapsed(NamedTuple):
+class SendRightLapsed(NamedTuple):
     """The daemon may send nothing to workers: it heard no one for too long."""
 
 
-class SendRestored(NamedTuple):
+class SendRightRestored(NamedTuple):
     """The daemon may send again."""
 
 
 Event = (
     Arrived
     | Cancelled
-    | Answered
+    | AttemptEnded
     | Received
     | Tick
     | ViewChanged
@@ -177,6 +177,6 @@
     | UrgenciesChanged
     | TeamsChanged
     | Stopping
-    | SendLapsed
-    | SendRestored
+    | SendRightLapsed
+    | SendRightRestored
 )
--- a/wigeonhitch/routing/link.py
+++ b/wigeonhitch/routing/link.py
@@ -38,7 +38,7 @@
     """Who counts the slots."""
 
     OWNER = "owner"
-    OWN_COUNTS = "own counts"
+    LOCAL_COUNTS = "own counts"
 
 
 class Link:
@@ -114,7 +114,7 @@
         self._forget_asks()
         self._rank = rank
         self._probe_at = now + PROBE
-        if self._policy is Policy.OWN_COUNTS or rank >= len(self._owners):
+        if self._policy is Policy.LOCAL_COUNTS or rank >= len(self._owners):
             self._state = State.ALONE
         else:
             self._state = State.JOINING
--- a/wigeonhitch/routing/pending.py
+++ b/wigeonhitch/routing/pending.py
@@ -153,7 +153,7 @@
         if entry is not None:
             self._give_up(entry, verdict.Reason.CANCELLED, False, now)
 
-    def end_attempt(self, end: event.Answered, now: float) -> None:
+    def end_attempt(self, end: event.AttemptEnded, now: float) -> None:
         """Count an attempt out, and answer its request or send it again."""
         attempt = self._attempts.pop(end.attempt, None)
         if attempt is None:
@@ -215,7 +215,7 @@
     def _decide(
         self,
         entry: request.Request,
-        end: event.Answered,
+        end: event.AttemptEnded,
         asker: borrower.Borrower,
         now: float,
     ) -> None:
--- a/wigeonhitch/routing/rendezvous.py
+++ b/wigeonhitch/routing/rendezvous.py
@@ -7,7 +7,7 @@
 import hashlib
 from collections.abc import Iterable
 
-__all__ = ["limit_connections", "rank"]
+__all__ = ["compute_connection_limit", "rank"]
 
 
 def rank(name: str, members: Iterable[str]) -> list[str]:
@@ -21,7 +21,7 @@
     return sorted(members, key=lambda member: _score(name, member))
 
 
-def limit_connections(vm: str, own: str, members: list[str], most: int) -> int:
+def compute_connection_limit(vm: str, own: str, members: list[str], most: int) -> int:
     """Return how many connections ``own`` may hold to a worker.
 
     Parameters
--- a/wigeonhitch/routing/request.py
+++ b/wigeonhitch/routing/request.py
@@ -62,12 +62,12 @@
     probe: bool = True
 
 
-def classify(end: event.Answered, attempt: Attempt, mean: float) -> peer.Outcome:
+def classify(end: event.AttemptEnded, attempt: Attempt, mean: float) -> peer.Outcome:
     """Return what the end of an attempt says about its worker.
 
     Parameters
     ----------
-    end, attempt : event.Answered, Attempt
+    end, attempt : event.AttemptEnded, Attempt
     mean : float
         Mean seconds of an answered request in the pool; 0 if unknown.
     """
--- a/wigeonhitch/routing/tests/test_core.py
+++ b/wigeonhitch/routing/tests/test_core.py
@@ -36,7 +36,7 @@
     core = loop.cores["d0"]
     waiting = sum(core.count_waiting().values())
     assert waiting
-    actions = core.handle(event.SendLapsed(), 1.0)
+    actions = core.handle(event.SendRightLapsed(), 1.0)
     refused = [act for act in actions if isinstance(act, action.Answer)]
     assert len(refused) == waiting
     assert {act.verdict.ran for act in refused} == {verdict.Ran.NO}
--- a/wigeonhitch/routing/tests/test_interleavings.py
+++ b/wigeonhitch/routing/tests/test_interleavings.py
@@ -49,7 +49,7 @@
                 self.check_send(name, act)
             elif isinstance(act, action.Answer):
                 self.check_answer(act)
-            elif isinstance(act, action.Tell):
+            elif isinstance(act, action.SendMessages):
                 self.links[name, act.daemon].append(act.messages)
         for vm in VMS:
             assert self.cores[name].in_flight(vm) == self.flights[name, vm]
@@ -96,7 +96,7 @@
         name, number, attempt, vm = self.open.pop(key)
         self.ended[number].append(result)
         self.flights[name, vm] -= 1
-        self.give(name, event.Answered(number, attempt, result, 0.05))
+        self.give(name, event.AttemptEnded(number, attempt, result, 0.05))
 
     @stateful.precondition(lambda self: any(self.links.values()))
     @stateful.rule(data=st.data(), lost=st.sampled_from([False, False, False, True]))
@@ -148,7 +148,7 @@
     @stateful.rule(name=st.sampled_from("ab"), lapse=st.booleans())
     def change_send_right(self, name, lapse):
         (self.lapsed.add if lapse else self.lapsed.discard)(name)
-        self.give(name, event.SendLapsed() if lapse else event.SendRestored())
+        self.give(name, event.SendRightLapsed() if lapse else event.SendRightRestored())
 
     def teardown(self):
         self.advance(30.0)
