--- a/wigeonhitch/routing/__init__.py
+++ b/wigeonhitch/routing/__init__.py
@@ -1,8 +1,8 @@
-"""Routing of requests to the slots of workers: admit, queue, send, retry.
+"""Routing of requests to worker slots: admission, queueing, dispatch and retries.
 
-Public: `core` is the object that a daemon drives; `event` and `action` are what
-goes in and what comes out, `peer` what daemons say to each other. The rest are
-its parts. No module here does input or output, reads a clock or draws unseeded
+The public modules are `core`, the object that a daemon drives; `event` and
+`action`, its input and output; and `peer`, the messages between daemons. The
+others are internal. No module here does I/O, reads a clock or draws unseeded
 random numbers: times are seconds on one clock that the caller passes in.
 """
 
--- a/wigeonhitch/routing/action.py
+++ b/wigeonhitch/routing/action.py
@@ -1,4 +1,4 @@
-"""Actions that come out of `wigeonhitch.routing.core.Core.handle`, in order."""
+"""Actions returned by `wigeonhitch.routing.core.Core.handle`, in order."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 class Send(NamedTuple):
     """Send a request to a worker now.
 
-    The doer ends every one with exactly one `event.AttemptEnded`.
+    Whoever executes it reports the end with exactly one `event.AttemptEnded`.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     vm : str
         The worker.
     timeout : float
-        Seconds after which to give up, ``may have run``.
+        Seconds after which the attempt is given up as ``may have run``.
     """
 
     request: int
@@ -32,9 +32,9 @@
 class Answer(NamedTuple):
     """Give the caller the final answer; once for each request.
 
-    With ``attempt`` above 0 the answer is the worker's answer to that attempt;
-    else it is made from the verdict alone. For a caller who left there is
-    nobody to tell, but the verdict is what is known about the request.
+    With ``attempt`` above 0 the answer is the worker's response to that attempt;
+    otherwise it is built from the verdict alone. The answer to a caller that has
+    disconnected is not delivered, but its verdict states the request's outcome.
     """
 
     request: int
@@ -43,7 +43,7 @@
 
 
 class Abort(NamedTuple):
-    """Give up an attempt that is on its way; nobody waits for its answer."""
+    """Abort an attempt in flight; its response is no longer needed."""
 
     request: int
     attempt: int
--- a/wigeonhitch/routing/event.py
+++ b/wigeonhitch/routing/event.py
@@ -1,4 +1,4 @@
-"""Events that go into `wigeonhitch.routing.core.Core.handle`.
+"""Events that are input of `wigeonhitch.routing.core.Core.handle`.
 
 All times are seconds. Absolute times are on the clock whose value is passed
 to ``handle`` as ``now``.
@@ -37,14 +37,14 @@
     request : int
         Unique in this daemon and never used again.
     service, pool : str
-        What was asked for, and the pool that serves it.
+        The requested service, and the pool that serves it.
     urgency, team : str
-        Class of work and team; unknown names are served after known classes,
-        with weight 1.
+        Urgency class and team. Unknown classes are served after the known ones;
+        unknown teams have weight 1.
     deadline : float
-        Absolute time by which the final answer must have been given.
+        Absolute time by which the final answer is due.
     idempotent : bool
-        Whether running it twice does no harm.
+        Whether the request may safely run twice.
     """
 
     request: int
@@ -57,7 +57,7 @@
 
 
 class Cancelled(NamedTuple):
-    """The caller left; unknown and answered requests are ignored."""
+    """The caller disconnected; unknown and answered requests are ignored."""
 
     request: int
 
@@ -74,12 +74,13 @@
         As in the `action.Send`.
     verdict : verdict.Verdict
         ``ran`` for a whole answer of any status, ``not run`` only if the
-        worker refused or no byte reached it, else ``may have run``.
+        worker refused or no byte reached it, otherwise ``may have run``.
     seconds : float
-        Time that the attempt took.
+        Duration of the attempt.
     failed : bool
-        The whole answer says that the worker failed (status 500 or above,
-        other than a refusal). Counts as evidence only; it is still an answer.
+        The answer is whole but reports a failure of the worker (status 500 or
+        above, other than a refusal). It counts for outlier detection only and is
+        still passed on as the answer.
     """
 
     request: int
@@ -108,9 +109,10 @@
     vm : str
         Name of the VM.
     slots, connections : int
-        Requests it runs at once; connections it accepts from all daemons.
+        Requests that it runs concurrently; connections that it accepts from all
+        daemons.
     usable : bool
-        False for VMs that drain or are down: they get no new sends.
+        False for VMs that are draining or down: they get no new sends.
     """
 
     vm: str
@@ -136,34 +138,34 @@
 
 
 class Urgency(NamedTuple):
-    """A class of work; ``start_within`` in seconds bounds its queueing."""
+    """An urgency class; ``start_within`` (seconds) limits the time in the queue."""
 
     name: str
     start_within: float
 
 
 class UrgenciesChanged(NamedTuple):
-    """All classes; ``"urgent"`` goes first, then by ``start_within``."""
+    """All urgency classes; ``"urgent"`` goes first, then by ``start_within``."""
 
     urgencies: tuple[Urgency, ...]
 
 
 class TeamsChanged(NamedTuple):
-    """Weights of teams; a team that is not named has weight 1."""
+    """Weights of teams; unlisted teams have weight 1."""
 
     weights: Mapping[str, float]
 
 
 class Stopping(NamedTuple):
-    """A planned stop: refuse what is new, finish what was accepted."""
+    """A planned stop: refuse new requests, finish the accepted ones."""
 
 
 class SendRightLapsed(NamedTuple):
-    """The daemon may send nothing to workers: it heard no one for too long."""
+    """The daemon lost the right to send to workers: it was out of contact too long."""
 
 
 class SendRightRestored(NamedTuple):
-    """The daemon may send again."""
+    """The daemon may send to workers again."""
 
 
 Event = (
--- a/wigeonhitch/routing/hint.py
+++ b/wigeonhitch/routing/hint.py
@@ -1,50 +1,55 @@
-"""Whether a slot just freed may be kept for an own request."""
+"""Whether a slot just freed may be reused for a local request."""
 
 from wigeonhitch.routing import peer, queue
 
-__all__ = ["Hint"]
+__all__ = ["ReuseHint"]
 
-# A slot that becomes free is kept for an own request of the class and team
-# that is next at the owner, if that request is younger than the owner's next
-# by at most this many seconds. It saves the slot two messages' ways (2 to 3
-# ms of some 50) when slots are scarce, and bounds the disorder that it brings.
-REUSE_SLACK = 0.05
+# A freed slot is reused for a local request of the class and team that is next at
+# the owner, if that request arrived at most this much later than the owner's next.
+# Reuse saves two message delays (2 to 3 ms of some 50) when slots are scarce; the
+# slack bounds how far requests may overtake each other.
+REUSE_SLACK_SECONDS = 0.05
 
-# Seconds after which what a pulse said about the next ask is not relied on.
-HINT_AGE = 0.06
+# Age up to which the contents of a pulse are relied on.
+MAX_HINT_AGE_SECONDS = 0.06
 
 
-class Hint:
-    """What the owner last said about the asks that are next."""
+class ReuseHint:
+    """The owner's latest report of the slot requests that are next."""
 
     def __init__(self) -> None:
         self._heads: tuple[peer.Head, ...] | None = None
-        self._at = 0.0
+        self._received_at = 0.0
 
-    def note(self, pulse: peer.Pulse, now: float) -> None:
-        """Take what a pulse says."""
+    def update(self, pulse: peer.Pulse, now: float) -> None:
+        """Record the contents of a pulse."""
         self._heads = pulse.heads
-        self._at = now
+        self._received_at = now
 
     def clear(self) -> None:
-        """Forget it: another owner is asked."""
+        """Discard the contents, because another owner is asked."""
         self._heads = None
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether it is recent enough to be relied on."""
-        return self._heads is not None and now - self._at <= HINT_AGE
+        """Return whether the contents are recent enough to be relied on."""
+        return (
+            self._heads is not None and now - self._received_at <= MAX_HINT_AGE_SECONDS
+        )
 
     def allows(self, entry: queue.Entry) -> bool:
-        """Tell whether an own request is about as good as the owner's next.
+        """Return whether a local request may take the slot before the owner's next.
 
-        Higher classes must have heads as fresh as the slack: they are served
-        at once, and wait for one slot more at most.
+        The next request of a higher class must be no older than the slack. It gets the
+        following free slot, so that reuse delays it by one slot at most.
         """
         for head in self._heads or ():
-            if head.rank < entry.rank and head.age > REUSE_SLACK:
+            if head.rank < entry.rank and head.age > REUSE_SLACK_SECONDS:
                 return False
             if head.rank == entry.rank:
-                oldest = self._at - head.age
-                if entry.team != head.team or entry.since > oldest + REUSE_SLACK:
+                oldest = self._received_at - head.age
+                if (
+                    entry.team != head.team
+                    or entry.arrived_at > oldest + REUSE_SLACK_SECONDS
+                ):
                     return False
         return True
--- a/wigeonhitch/routing/peer.py
+++ b/wigeonhitch/routing/peer.py
@@ -1,9 +1,9 @@
 """Messages between daemons about the slots of one pool.
 
-The counting daemon of a pool ("owner") hands out slots; the others ask. Ages
-and remaining times are sent as durations in seconds, since clocks differ. An
-``ask`` number is unique in the asking daemon; a slot is held under the number
-of the ask that it was granted for until that number is returned.
+The pool's owner counts its slots and grants them; the other daemons request
+them. Ages and remaining times are sent as durations in seconds, since clocks
+differ. The number ``ask`` of a slot request is unique in the requesting daemon; a
+granted slot is held under this number until it is returned.
 """
 
 import enum
@@ -38,12 +38,13 @@
 
 
 class Ask(NamedTuple):
-    """Ask the owner for a slot.
+    """Request a slot of the owner.
 
     Parameters
     ----------
     pool : str
     ask : int
+        Number of this slot request.
     rank : int
         Rank of the urgency class; 0 goes first.
     team : str
@@ -54,7 +55,8 @@
     lasts : float
         Seconds until the request's deadline.
     again : bool
-        It had a slot before, in vain; it goes before others of its team.
+        Whether the request was sent before; it then goes before others of its
+        team.
     """
 
     pool: str
@@ -68,7 +70,7 @@
 
 
 class Grant(NamedTuple):
-    """Owner to daemon: use a slot of ``vm`` for ``ask``, now."""
+    """Owner to daemon: use a slot of ``vm`` for the slot request ``ask``, now."""
 
     pool: str
     ask: int
@@ -76,7 +78,7 @@
 
 
 class Deny(NamedTuple):
-    """Owner to daemon: the ask is refused; come back in ``retry_after`` s."""
+    """Owner to daemon: the slot request is refused; retry after ``retry_after`` s."""
 
     pool: str
     ask: int
@@ -87,9 +89,8 @@
 class Return(NamedTuple):
     """The slot held under ``ask`` is free again.
 
-    ``seconds`` is how long it was used. With ``reused`` above 0 it is not
-    free: the waiting ask of that number is served by it, and it stays held
-    under ``ask``.
+    ``seconds`` is how long it was used. With ``reused`` above 0 it is not free: it
+    serves the waiting slot request of that number, and stays held under ``ask``.
     """
 
     pool: str
@@ -100,7 +101,7 @@
 
 
 class Cancel(NamedTuple):
-    """The ask is no longer wanted."""
+    """The slot request is withdrawn."""
 
     pool: str
     ask: int
@@ -115,9 +116,10 @@
 
 
 class Report(NamedTuple):
-    """All slots of the pool that the sender holds; replaces what was known.
+    """All slots of the pool that the sender holds; replaces its earlier reports.
 
-    The sender's asks are forgotten too. A `Welcome` is wanted if ``join``.
+    The sender's slot requests are discarded too. With ``join`` the sender expects a
+    `Welcome`.
     """
 
     pool: str
@@ -126,13 +128,13 @@
 
 
 class Welcome(NamedTuple):
-    """Owner to daemon: the report is counted, asks are served from now on."""
+    """Owner to daemon: the report is counted, and slot requests are served."""
 
     pool: str
 
 
 class Head(NamedTuple):
-    """The ask that is next of its class; ``age`` in seconds."""
+    """The slot request that is next of its class; ``age`` in seconds."""
 
     rank: int
     team: str
@@ -140,14 +142,14 @@
 
 
 class Pulse(NamedTuple):
-    """Owner to daemons with waiting asks: alive, and who is next per class."""
+    """Owner to daemons with waiting slot requests: heartbeat and the next per class."""
 
     pool: str
     heads: tuple[Head, ...]
 
 
 class Leave(NamedTuple):
-    """Owner to daemons: it stops counting this pool."""
+    """Owner to daemons: it stops counting the slots of this pool."""
 
     pool: str
 
--- a/wigeonhitch/routing/rendezvous.py
+++ b/wigeonhitch/routing/rendezvous.py
@@ -1,7 +1,7 @@
-"""Who does what among alike daemons, by rendezvous hashing.
+"""Assignment of duties among equivalent daemons by rendezvous hashing.
 
-Every daemon that sees the same members computes the same answer, and a change
-of one member moves only what that member had.
+Every daemon that sees the same members computes the same assignment, and a change
+of one member moves only the duties of that member.
 """
 
 import hashlib
@@ -21,33 +21,35 @@
     return sorted(members, key=lambda member: _score(name, member))
 
 
-def compute_connection_limit(vm: str, own: str, members: list[str], most: int) -> int:
-    """Return how many connections ``own`` may hold to a worker.
+def compute_connection_limit(
+    vm: str, daemon: str, members: list[str], max_connections: int
+) -> int:
+    """Return how many connections a daemon may hold to a worker.
 
     Parameters
     ----------
     vm : str
-        The worker, which accepts ``most`` connections.
-    own : str
-        This daemon.
+        The worker, which accepts ``max_connections`` connections.
+    daemon : str
+        The daemon.
     members : list of str
         All daemons, this one included.
 
     Notes
     -----
-    The sum over all members is at most ``most``. What is left after an equal
-    share goes to those whose rank for this worker is best, so with more
+    The sum over all members is at most ``max_connections``. The remainder after an
+    equal share goes to the members that rank best for this worker, so with more
     daemons than connections each worker has a stable subset of daemons.
     """
-    share, left = divmod(most, max(1, len(members)))
-    if not left:
+    share, remainder = divmod(max_connections, max(1, len(members)))
+    if not remainder:
         return share
-    score = _score(vm, own)
+    score = _score(vm, daemon)
     better = 0
     for member in members:
         if _score(vm, member) < score:
             better += 1
-            if better >= left:
+            if better >= remainder:
                 return share
     return share + 1
 
--- a/wigeonhitch/routing/request.py
+++ b/wigeonhitch/routing/request.py
@@ -1,23 +1,23 @@
-"""Records of requests and attempts, and what an attempt's end says."""
+"""State of requests and attempts, and classification of how an attempt ended."""
 
 from typing import NamedTuple
 
 from wigeonhitch import verdict
 from wigeonhitch.routing import event, peer
 
-__all__ = ["Attempt", "Request", "classify", "find_latest", "find_timeout"]
+__all__ = ["Attempt", "Request", "classify", "compute_latest_start", "compute_timeout"]
 
-# Seconds that a request may wait for a slot however short its deadline is. A
-# pool whose mean time has grown above the deadlines would else refuse all, and
-# never learn that it has recovered.
-GRACE = 0.05
+# Seconds that a request may wait for a slot however short its deadline is.
+# Otherwise a pool whose mean time has grown above the deadlines would refuse all
+# requests, and its recovery would never be noticed.
+MIN_QUEUE_SECONDS = 0.05
 
-# Share of the time left that the first try of an idempotent request gets; the
-# rest is for a second worker, if the first is frozen.
-FIRST_TRY = 0.5
+# Share of the remaining time given to the first try of an idempotent request; the
+# rest is left for a second worker, if the first is frozen.
+FIRST_TRY_SHARE = 0.5
 
-# An attempt that was given up sooner than this many mean times says nothing
-# about its worker: the caller's time was short.
+# An attempt given up after fewer than this many mean times does not count against
+# its worker: the caller's deadline was short.
 TIMEOUT_FACTOR = 4.0
 
 
@@ -51,24 +51,26 @@
 class Attempt(NamedTuple):
     """One send to a worker that has not ended.
 
-    ``hold`` is the number under which its slot is held; ``probe`` is false
-    for one whose caller left.
+    ``slot_id`` is the number under which its slot is held; ``caller_waits`` is false
+    once the caller has disconnected.
     """
 
     request: int
     pool: str
     vm: str
-    hold: int
-    probe: bool = True
+    slot_id: int
+    caller_waits: bool = True
 
 
-def classify(end: event.AttemptEnded, attempt: Attempt, mean: float) -> peer.Outcome:
-    """Return what the end of an attempt says about its worker.
+def classify(
+    end: event.AttemptEnded, attempt: Attempt, mean_seconds: float
+) -> peer.Outcome:
+    """Return how the end of an attempt counts for its worker.
 
     Parameters
     ----------
     end, attempt : event.AttemptEnded, Attempt
-    mean : float
+    mean_seconds : float
         Mean seconds of an answered request in the pool; 0 if unknown.
     """
     result = end.verdict
@@ -77,21 +79,25 @@
     if result.reason is verdict.Reason.WORKER_REFUSED:
         return peer.Outcome.REFUSED
     if result.ran is verdict.Ran.NO or result.reason is verdict.Reason.BROKEN_ANSWER:
-        return peer.Outcome.FAILED if attempt.probe else peer.Outcome.UNUSED
-    if attempt.probe and end.seconds >= TIMEOUT_FACTOR * mean:
+        return peer.Outcome.FAILED if attempt.caller_waits else peer.Outcome.UNUSED
+    if attempt.caller_waits and end.seconds >= TIMEOUT_FACTOR * mean_seconds:
         return peer.Outcome.FAILED
     return peer.Outcome.UNUSED
 
 
-def find_latest(request: Request, mean: float, now: float) -> float:
-    """Return when the request must have started to be met, in seconds."""
-    latest = min(request.deadline - mean, request.arrived + request.start_within)
-    return min(request.deadline, max(latest, now + GRACE))
+def compute_latest_start(request: Request, mean_seconds: float, now: float) -> float:
+    """Return when the request must have started to meet its deadline, in seconds."""
+    latest_start = min(
+        request.deadline - mean_seconds, request.arrived + request.start_within
+    )
+    return min(request.deadline, max(latest_start, now + MIN_QUEUE_SECONDS))
 
 
-def find_timeout(request: Request, mean: float, now: float) -> float:
-    """Return the seconds that the next try gets."""
-    left = max(0.0, request.deadline - now)
+def compute_timeout(request: Request, mean_seconds: float, now: float) -> float:
+    """Return the timeout of the next try, in seconds."""
+    remaining = max(0.0, request.deadline - now)
     if not request.event.idempotent or request.tries > 1:
-        return left
-    return min(left, max(FIRST_TRY * left, 2.0 * TIMEOUT_FACTOR * mean))
+        return remaining
+    return min(
+        remaining, max(FIRST_TRY_SHARE * remaining, 2.0 * TIMEOUT_FACTOR * mean_seconds)
+    )
--- a/wigeonhitch/routing/retry.py
+++ b/wigeonhitch/routing/retry.py
@@ -1,26 +1,26 @@
-"""Budget of repeated sends to the workers of one pool.
+"""Budget for retries to the workers of one pool.
 
-Made for a total outage of a pool's workers: with three tries a request the
-load on what is left would triple just when it returns. Harm prevented: an
-outage that lasts because of the retries.
+Prevents retries from prolonging a total outage of a pool's workers: with three
+tries per request, the load on the remaining workers would triple just as they
+recover.
 """
 
 __all__ = ["Budget"]
 
-# Repeats earned by each first send. Even if every one is used, the load stays
-# under 1.03 times what callers sent; with what was saved up the aim is 1.1.
-EARNED_BY_SEND = 0.03
+# Retries after failures earned by each first send. If all are used, the load stays
+# below 1.03 times what callers sent; with the saved tokens the target is 1.1 times.
+TOKENS_PER_SEND = 0.03
 
-# Repeats after a worker's refusal that each whole answer earns. An answer
-# proves that slots become free, so a refusal then is contention between
-# daemons that know too little of each other, not an outage.
-EARNED_BY_ANSWER = 5.0
+# Retries after refusals earned by each whole answer. An answer shows that slots
+# become free, so that a refusal results from contention between daemons that lack
+# each other's counts, not from an outage.
+TOKENS_PER_ANSWER = 5.0
 
-# Most that can be saved up of each kind: what an outage begins with, for each
-# daemon. More would multiply an outage; fewer after refusals would not last
-# through a burst of contention, and requests be refused for want of a repeat.
-MOST_REPEATS = 5.0
-MOST_REFUSALS = 20.0
+# Largest balance of each kind, which each daemon may spend when an outage begins.
+# A larger one would multiply the load of the outage; with fewer tokens for refusals,
+# a burst of contention would exhaust them and requests would be refused.
+MAX_FAILURE_TOKENS = 5.0
+MAX_REFUSAL_TOKENS = 20.0
 
 
 class Budget:
@@ -34,31 +34,35 @@
     """
 
     def __init__(self) -> None:
-        self._repeats = MOST_REPEATS
-        self._refusals = MOST_REFUSALS
+        self._failure_tokens = MAX_FAILURE_TOKENS
+        self._refusal_tokens = MAX_REFUSAL_TOKENS
 
-    def earn_by_send(self) -> None:
-        """Count a first send."""
-        self._repeats = min(MOST_REPEATS, self._repeats + EARNED_BY_SEND)
+    def add_for_send(self) -> None:
+        """Add the tokens for a first send."""
+        self._failure_tokens = min(
+            MAX_FAILURE_TOKENS, self._failure_tokens + TOKENS_PER_SEND
+        )
 
-    def earn_by_answer(self) -> None:
-        """Count a whole answer."""
-        self._refusals = min(MOST_REFUSALS, self._refusals + EARNED_BY_ANSWER)
+    def add_for_answer(self) -> None:
+        """Add the tokens for a whole answer."""
+        self._refusal_tokens = min(
+            MAX_REFUSAL_TOKENS, self._refusal_tokens + TOKENS_PER_ANSWER
+        )
 
     def spend(self) -> bool:
-        """Take one repeat after a failure, if there is one."""
-        if self._repeats < 1.0:
+        """Spend a token for a retry after a failure; return whether there was one."""
+        if self._failure_tokens < 1.0:
             return False
-        self._repeats -= 1.0
+        self._failure_tokens -= 1.0
         return True
 
-    def has_refusal(self) -> bool:
-        """Tell whether a repeat after a refusal is left."""
-        return max(self._refusals, self._repeats) >= 1.0
+    def can_retry_refused(self) -> bool:
+        """Return whether a token for a retry after a refusal is left."""
+        return max(self._refusal_tokens, self._failure_tokens) >= 1.0
 
-    def spend_refusal(self) -> bool:
-        """Take one repeat after a refusal, if there is one."""
-        if self._refusals >= 1.0:
-            self._refusals -= 1.0
+    def spend_after_refusal(self) -> bool:
+        """Spend a token for a retry after a refusal; return whether there was one."""
+        if self._refusal_tokens >= 1.0:
+            self._refusal_tokens -= 1.0
             return True
         return self.spend()
--- a/wigeonhitch/routing/tests/test_outcomes.py
+++ b/wigeonhitch/routing/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What callers get, under the loads and failures that the decisions are for."""
+"""What callers get under the loads and failures that routing is designed for."""
 
 import collections
 
@@ -6,7 +6,7 @@
 
 from benchmarks import routing_loop, routing_waits
 from wigeonhitch import verdict
-from wigeonhitch.routing import event, evidence, link, peer
+from wigeonhitch.routing import event, link, outlier, peer
 
 SLOTS = 48
 CAPACITY = SLOTS / 0.05
@@ -23,14 +23,14 @@
     ]
 
 
-def find_p99(found):
+def compute_p99_latency(requests):
     return routing_waits.quantile(
-        [done.answered - done.arrived for done in found], 0.99
+        [done.answered - done.arrived for done in requests], 0.99
     )
 
 
-def find_wait(found):
-    return routing_waits.quantile([done.wait for done in found], 0.99)
+def compute_p99_wait(requests):
+    return routing_waits.quantile([done.wait for done in requests], 0.99)
 
 
 def offer_mixed(loop, load, end, urgent=0.2):
@@ -38,8 +38,8 @@
         loop.give(name, event.UrgenciesChanged(CLASSES))
     rate = load * CAPACITY
     loop.offer(urgent * rate, 0.0, end, within=2.0)
-    kind = {"urgency": "bulk", "team": "closing", "within": 5.0}
-    loop.offer((1.0 - urgent) * rate, 0.0, end, **kind)
+    bulk = {"urgency": "bulk", "team": "closing", "within": 5.0}
+    loop.offer((1.0 - urgent) * rate, 0.0, end, **bulk)
 
 
 def test_twice_the_capacity_keeps_goodput_and_urgent_answers():
@@ -51,7 +51,7 @@
     busy = sum(worker.busy for worker in twice.workers.values())
     twice.run(30.0)
     assert busy > 0.95 * SLOTS * 12.0
-    assert find_p99(select(twice)) <= 2.0 * find_p99(select(half))
+    assert compute_p99_latency(select(twice)) <= 2.0 * compute_p99_latency(select(half))
     refused = select(twice, "bulk", verdict.Ran.NO)
     assert refused
     assert max(done.answered - done.arrived for done in refused) < 0.1
@@ -71,10 +71,10 @@
     loop.offer(0.5 * CAPACITY, 0.0, 8.0)
     loop.offer(5.0 * CAPACITY, 2.0, 2.2)
     loop.run(20.0)
-    assert find_wait(select(loop, until=1.9)) < 0.02
-    assert find_wait(select(loop, since=2.0, until=2.2)) > 0.2
+    assert compute_p99_wait(select(loop, until=1.9)) < 0.02
+    assert compute_p99_wait(select(loop, since=2.0, until=2.2)) > 0.2
     # The burst brings 1 s of work, half the capacity is free for it: 2 s.
-    assert find_wait(select(loop, since=4.7)) < 0.02
+    assert compute_p99_wait(select(loop, since=4.7)) < 0.02
     assert not select(loop, ran=verdict.Ran.NO)
 
 
@@ -85,24 +85,24 @@
     assert select(loop, ran=verdict.Ran.NO, since=1.0, until=5.0)
     # At 5 s some 0.5 s of work waits; half the capacity is free for it, so
     # 1 s, and the last of it runs for 0.3 s.
-    assert find_wait(select(loop, since=6.3)) < 0.02
+    assert compute_p99_wait(select(loop, since=6.3)) < 0.02
     assert not select(loop, ran=verdict.Ran.NO, since=5.5)
 
 
 def test_skewed_demand_waits_no_longer(loop):
     loop.offer(0.7 * CAPACITY, 0.0, 8.0, weights=[10.0] + [1.0] * 8)
     loop.run(20.0)
-    assert find_wait(select(loop)) < 0.03
+    assert compute_p99_wait(select(loop)) < 0.03
     assert loop.counts["refusals"] == 0
 
 
-def test_one_slow_worker_is_used_last(loop):
+def test_slow_worker_is_selected_last(loop):
     loop.workers["vm0"].factor = 4.0
     loop.offer(0.6 * CAPACITY, 0.0, 8.0)
     loop.run(20.0)
     begun = {vm: len(worker.begun) for vm, worker in loop.workers.items()}
     assert begun["vm0"] < 0.25 * max(begun.values())
-    assert find_wait(select(loop)) < 0.03
+    assert compute_p99_wait(select(loop)) < 0.03
 
 
 def test_team_with_many_requests_does_not_delay_the_others(loop):
@@ -112,7 +112,7 @@
     few = [done for done in select(loop) if done.team == "few"]
     many = [done for done in select(loop) if done.team == "a-many"]
     assert not [d for d in select(loop, ran=verdict.Ran.NO) if d.team == "few"]
-    assert find_wait(few) < 0.2 * find_wait(many)
+    assert compute_p99_wait(few) < 0.2 * compute_p99_wait(many)
 
 
 @pytest.mark.parametrize("mode", ["down", "refuse"])
@@ -129,32 +129,32 @@
     loop.run(30.0)
     refused = select(loop, ran=verdict.Ran.NO, since=2.1)
     assert len(refused) > 0.99 * 0.5 * CAPACITY * 11.0
-    assert find_p99(refused) < 0.5
+    assert compute_p99_latency(refused) < 0.5
 
 
-def test_worker_that_fails_everything_is_taken_out_and_let_back(loop):
-    bad = loop.workers["vm0"]
-    bad.mode = "fail"
+def test_worker_that_fails_all_requests_is_ejected_and_returns(loop):
+    failing = loop.workers["vm0"]
+    failing.mode = "fail"
     loop.offer(0.75 * CAPACITY, 0.0, 20.0)
     loop.run(10.0)
-    assert len(bad.begun) < 0.01 * sum(len(w.begun) for w in loop.workers.values())
-    bad.mode = "ok"
+    assert len(failing.begun) < 0.01 * sum(len(w.begun) for w in loop.workers.values())
+    failing.mode = "ok"
     loop.run(20.0)
-    late = [when for when in bad.begun if when > 18.0]
-    assert len(late) > 100
+    later = [when for when in failing.begun if when > 18.0]
+    assert len(later) > 100
 
 
-def test_evidence_takes_out_no_more_than_its_share(loop):
+def test_no_more_than_the_maximum_share_is_ejected(loop):
     for worker in loop.workers.values():
         worker.mode = "fail"
     loop.offer(0.3 * CAPACITY, 0.0, 5.0)
     loop.run(5.0)
     used = [vm for vm, w in loop.workers.items() if any(t > 4.0 for t in w.begun)]
-    assert len(used) >= len(loop.workers) * (1.0 - evidence.MAX_OUT)
+    assert len(used) >= len(loop.workers) * (1.0 - outlier.MAX_EJECTED_SHARE)
 
 
 @pytest.mark.parametrize("fault", ["kill", "pause", "cut"])
-def test_loss_of_the_owner_delays_nobody_for_long(loop, fault):
+def test_loss_of_the_owner_delays_requests_only_briefly(loop, fault):
     owner = loop.find_owner()
     weights = [0.0 if name == owner else 1.0 for name in loop.names]
     loop.offer(0.7 * CAPACITY, 0.0, 6.0, weights=weights)
@@ -162,16 +162,18 @@
     loop.run(20.0)
     assert len(loop.done) == loop.count_arrived()
     assert not select(loop, ran=verdict.Ran.MAYBE)
-    lost = link.SILENCE + 0.1
-    assert find_wait(select(loop, since=2.0, until=2.3)) < 2.0 * lost
-    assert find_wait(select(loop, since=2.5)) < 0.05
+    detection_seconds = link.OWNER_TIMEOUT_SECONDS + 0.1
+    assert (
+        compute_p99_wait(select(loop, since=2.0, until=2.3)) < 2.0 * detection_seconds
+    )
+    assert compute_p99_wait(select(loop, since=2.5)) < 0.05
 
 
-def test_caller_who_leaves_frees_its_place(loop):
-    asker = next(name for name in loop.names if name != loop.find_owner())
-    numbers = [loop.arrive(asker, 1.0) for _ in range(200)]
+def test_caller_that_disconnects_frees_its_place(loop):
+    daemon = next(name for name in loop.names if name != loop.find_owner())
+    numbers = [loop.arrive(daemon, 1.0) for _ in range(200)]
     loop.run(0.5)
-    waiting = sum(loop.cores[asker].count_waiting().values())
+    waiting = sum(loop.cores[daemon].count_waiting().values())
     assert waiting == 200 - SLOTS
     grants = []
 
@@ -180,10 +182,10 @@
 
     loop.on_message = watch
     for number in numbers:
-        loop.give(asker, event.Cancelled(number))
-    late = loop.arrive(asker, 0.01)
+        loop.give(daemon, event.Cancelled(number))
+    later = loop.arrive(daemon, 0.01)
     loop.run(1.2)
-    assert loop.done[late].verdict == verdict.ran()
+    assert loop.done[later].verdict == verdict.ran()
     assert len(grants) == 1
     ran = collections.Counter(done.verdict.ran for done in loop.done.values())
     assert ran[verdict.Ran.NO] == waiting
--- a/wigeonhitch/routing/timer.py
+++ b/wigeonhitch/routing/timer.py
@@ -5,13 +5,13 @@
 
 __all__ = ["Timers"]
 
-# Discarded times stay in the heap until it is this much larger than what is
-# live; bulk deadlines lie hours ahead, so without it memory would grow.
-SLACK = 64
+# Number of heap entries beyond twice the live ones at which discarded times are
+# removed. Bulk deadlines lie hours ahead, so memory would grow otherwise.
+MAX_STALE_ENTRIES = 64
 
 
 class Timers:
-    """One due time per key, in seconds; the earliest is found at once.
+    """One due time per key, in seconds, with fast access to the earliest.
 
     Examples
     --------
@@ -35,7 +35,7 @@
         self._live[key] = when
         self._count += 1
         heapq.heappush(self._heap, (when, self._count, key))
-        if len(self._heap) > 2 * len(self._live) + SLACK:
+        if len(self._heap) > 2 * len(self._live) + MAX_STALE_ENTRIES:
             self._compact()
 
     def advance(self, key: Any, when: float) -> None:
@@ -44,7 +44,7 @@
             self.set(key, when)
 
     def discard(self, key: Any) -> None:
-        """Forget ``key``, if it is known."""
+        """Remove ``key``, if present."""
         self._live.pop(key, None)
 
     def next(self) -> float | None:
