--- a/wigeonhitch/front/__init__.py
+++ b/wigeonhitch/front/__init__.py
@@ -1,8 +1,8 @@
-"""The callers' side: HTTP in, a worker's answer or an honest verdict out.
+"""Request front end: accepts callers' HTTP requests and answers with a verdict.
 
-Public: `application` is the ASGI application, `dispatcher` joins the routing
-decisions to it, `guard` runs keyed requests at most once, `sender` sends one
-attempt, `reply` is the HTTP form of a verdict.
+The modules are `application`, the ASGI application; `dispatcher`, which executes
+the routing actions; `guard`, which runs keyed requests at most once; `sender`,
+which sends one attempt; and `reply`, the HTTP form of a verdict.
 """
 
 __all__ = ["application", "dispatcher", "guard", "reply", "sender"]
--- a/wigeonhitch/front/application.py
+++ b/wigeonhitch/front/application.py
@@ -1,7 +1,7 @@
-"""ASGI application of the callers' side.
+"""ASGI application that serves callers.
 
-A request enters as ``/{service}/{path}``. The task that hypercorn runs for it
-reads it whole, asks the decisions, sends it to a worker, and answers.
+A request arrives as ``/{service}/{path}``. The task that hypercorn runs for it
+reads the whole request, has it routed to a worker, and sends the answer.
 """
 
 import math
@@ -16,7 +16,7 @@
 from wigeonhitch.routing import event
 from wigeonhitch.telemetry import log, metric, trace
 
-__all__ = ["Application", "Catalogue", "Entry", "Limits", "make_catalogue"]
+__all__ = ["Application", "Catalogue", "ServiceEntry", "Limits", "make_catalogue"]
 
 KEY_HEADER = "idempotency-key"
 DEADLINE_HEADER = "wigeonhitch-deadline"
@@ -26,23 +26,23 @@
 
 
 class Limits(NamedTuple):
-    """Limits of what callers may ask.
+    """Limits of callers' requests.
 
     Parameters
     ----------
     longest_request : float
-        Seconds; a longer deadline is cut to it. A drain must know a time after
-        which no request is held any more.
+        Seconds; longer deadlines are shortened to it. A drain needs a time after
+        which no request is in flight any more.
     body : int
-        Most bytes of a request's body, which is held until it is answered.
+        Maximum bytes of a request's body, which is held until it is answered.
     """
 
     longest_request: float = 60.0
     body: int = 8 * 1024 * 1024
 
 
-class Entry(NamedTuple):
-    """What is known of a service: pool, urgency class and its deadline (s)."""
+class ServiceEntry(NamedTuple):
+    """Routing data of a service: pool, urgency class and its deadline (s)."""
 
     pool: str
     urgency: str
@@ -50,24 +50,26 @@
 
 
 class Catalogue(NamedTuple):
-    """The services of the document in force, and deadlines per urgency (s)."""
+    """Services of the fleet document in force, and deadlines per urgency (s)."""
 
-    services: Mapping[str, Entry]
+    services: Mapping[str, ServiceEntry]
     deadlines: Mapping[str, float]
 
 
 def make_catalogue(accepted: document.Document) -> Catalogue:
-    """Return what callers may ask for under a fleet document."""
-    deadlines = {one.name: one.deadline for one in accepted.urgencies}
+    """Return the services that callers may request under a fleet document."""
+    deadlines = {urgency.name: urgency.deadline for urgency in accepted.urgencies}
     services = {
-        one.name: Entry(one.pool, one.urgency, deadlines[one.urgency])
-        for one in accepted.services
+        service.name: ServiceEntry(
+            service.pool, service.urgency, deadlines[service.urgency]
+        )
+        for service in accepted.services
     }
     return Catalogue(services, deadlines)
 
 
-class _Call(NamedTuple):
-    """A caller's request, taken apart."""
+class _ParsedRequest(NamedTuple):
+    """The parts of a caller's request."""
 
     method: str
     service: str
@@ -87,11 +89,11 @@
     find_catalogue : callable
         Returns the `Catalogue` in force, or None when the daemon isn't ready.
     is_ready : callable
-        Whether the balancer may send requests here.
+        Whether the load balancer may send requests here.
     is_alive : callable
         Whether this process is healthy; false once it is stopping.
     clock : callable
-        Seconds on the clock that counts suspension.
+        Seconds on the clock that includes time in suspension.
     tracing : trace.Tracing
     instruments : metric.Instruments
     limits : Limits
@@ -124,8 +126,8 @@
         if scope["type"] == "lifespan":
             await asgi.serve_lifespan(receive, send)
         elif scope["type"] == "http":
-            given = await self._answer(scope, receive)
-            await send_reply(send, given)
+            answer = await self._answer(scope, receive)
+            await send_reply(send, answer)
 
     async def _answer(self, scope: dict, receive: Any) -> reply.Reply:
         if scope["path"].startswith("/-/"):
@@ -135,7 +137,7 @@
         if body is None:
             return reply.make_refusal(verdict.not_run(verdict.Reason.BAD_REQUEST))
         query = scope["query_string"].decode("latin-1")
-        call = _Call(
+        parsed = _ParsedRequest(
             scope["method"],
             service,
             f"/{rest}" + (f"?{query}" if query else ""),
@@ -145,77 +147,83 @@
             },
             body,
         )
-        began = self._clock()
-        with self._tracing.open_hop("receive", call.headers, service=service) as hop:
-            given, final = await self._route_safely(call, hop, receive)
-            hop.span.set_attribute("verdict", given.ran.value)
-        self._count(service, given, self._clock() - began)
+        started_at = self._clock()
+        with self._tracing.open_hop("receive", parsed.headers, service=service) as hop:
+            result, final = await self._route_or_report_fault(parsed, hop, receive)
+            hop.span.set_attribute("verdict", result.ran.value)
+        self._count(service, result, self._clock() - started_at)
         return final
 
-    async def _route_safely(
-        self, call: _Call, hop: trace.Hop, receive: Any
+    async def _route_or_report_fault(
+        self, parsed: _ParsedRequest, hop: trace.Hop, receive: Any
     ) -> tuple[verdict.Verdict, reply.Reply]:
-        """Route, and answer truthfully after a fault of this program too."""
+        """Route a request; after an internal error the verdict is "may have run"."""
         try:
-            return await self._route(call, hop, receive)
+            return await self._route(parsed, hop, receive)
         except Exception:
-            log.log_fault("a request failed", service=call.service)
-            given = verdict.may_have_run(verdict.Reason.FAULT)
-            return given, reply.make_refusal(given)
+            log.log_fault("a request failed", service=parsed.service)
+            refusal = verdict.may_have_run(verdict.Reason.FAULT)
+            return refusal, reply.make_refusal(refusal)
 
     async def _route(
-        self, call: _Call, hop: trace.Hop, receive: Any
+        self, parsed: _ParsedRequest, hop: trace.Hop, receive: Any
     ) -> tuple[verdict.Verdict, reply.Reply]:
         catalogue = self._find_catalogue()
-        entry = catalogue.services.get(call.service) if catalogue else None
+        entry = catalogue.services.get(parsed.service) if catalogue else None
         if entry is None:
             reason = verdict.Reason.UNKNOWN_SERVICE
             if catalogue is None:
                 reason = verdict.Reason.NOT_READY
                 if not self._is_alive():
                     reason = verdict.Reason.STOPPING
-            given = verdict.not_run(reason, 0.0 if catalogue else 1.0)
-            return given, reply.make_refusal(given)
-        arrived = self._make_event(call, entry, catalogue)
+            refusal = verdict.not_run(reason, 0.0 if catalogue else 1.0)
+            return refusal, reply.make_refusal(refusal)
+        arrived = self._make_event(parsed, entry, catalogue)
         if arrived is None:
-            given = verdict.not_run(verdict.Reason.BAD_REQUEST)
-            return given, reply.make_refusal(given)
-        final = await self._serve(call, arrived, hop, receive)
+            refusal = verdict.not_run(verdict.Reason.BAD_REQUEST)
+            return refusal, reply.make_refusal(refusal)
+        final = await self._serve(parsed, arrived, hop, receive)
         if final.answer is None:
             return final.verdict, reply.make_refusal(final.verdict)
-        return final.verdict, reply.mark(final.answer, final.verdict)
+        return final.verdict, reply.add_verdict_headers(final.answer, final.verdict)
 
     async def _serve(
-        self, call: _Call, arrived: event.Arrived, hop: trace.Hop, receive: Any
+        self,
+        parsed: _ParsedRequest,
+        arrived: event.Arrived,
+        hop: trace.Hop,
+        receive: Any,
     ) -> dispatcher.FinalAnswer:
-        key = call.headers.get(KEY_HEADER, "")
+        key = parsed.headers.get(KEY_HEADER, "")
         is_keyed = bool(key) and not arrived.idempotent
         context = hop.headers.get("traceparent", "")
-        ticket = dispatcher.Ticket(keep_sent=is_keyed, trace=context)
-        headers = (*sender.select_headers(call.headers), *hop.headers.items())
+        pending = dispatcher.PendingRequest(finish_if_sent=is_keyed, trace=context)
+        headers = (*sender.select_headers(parsed.headers), *hop.headers.items())
         request = sender.Attempt(
-            "", call.method, call.target, dict(headers).items(), call.body, 0.0
+            "", parsed.method, parsed.target, dict(headers).items(), parsed.body, 0.0
         )
         async with anyio.create_task_group() as group:
-            group.start_soon(self._watch, receive, ticket)
+            group.start_soon(self._watch_disconnect, receive, pending)
             if is_keyed:
-                final = await self._claims.serve(key, arrived, request, ticket)
+                final = await self._claims.serve(key, arrived, request, pending)
             else:
-                final = await self._dispatch.serve(arrived, request, ticket)
+                final = await self._dispatch.serve(arrived, request, pending)
             group.cancel_scope.cancel()
         return final
 
-    async def _watch(self, receive: Any, ticket: dispatcher.Ticket) -> None:
+    async def _watch_disconnect(
+        self, receive: Any, pending: dispatcher.PendingRequest
+    ) -> None:
         while (await receive())["type"] != "http.disconnect":
             pass
-        self._dispatch.leave(ticket)
+        self._dispatch.cancel(pending)
 
     def _make_event(
-        self, call: _Call, entry: Entry, catalogue: Catalogue
+        self, parsed: _ParsedRequest, entry: ServiceEntry, catalogue: Catalogue
     ) -> event.Arrived | None:
-        urgency = call.headers.get(URGENCY_HEADER, entry.urgency)
+        urgency = parsed.headers.get(URGENCY_HEADER, entry.urgency)
         seconds = catalogue.deadlines.get(urgency, entry.deadline)
-        text = call.headers.get(DEADLINE_HEADER)
+        text = parsed.headers.get(DEADLINE_HEADER)
         if text is not None:
             try:
                 seconds = float(text)
@@ -226,42 +234,47 @@
         seconds = min(seconds, self._limits.longest_request)
         return event.Arrived(
             request=0,
-            service=call.service,
+            service=parsed.service,
             pool=entry.pool,
             urgency=urgency,
-            team=call.headers.get(TEAM_HEADER, ""),
+            team=parsed.headers.get(TEAM_HEADER, ""),
             deadline=self._clock() + seconds,
-            idempotent=call.method in IDEMPOTENT_METHODS,
+            idempotent=parsed.method in IDEMPOTENT_METHODS,
         )
 
     def _answer_probe(self, path: str) -> reply.Reply:
-        fine = self._is_alive() if path == "/-/health" else self._is_ready()
-        text = b"yes\n" if fine else b"no\n"
+        passed = self._is_alive() if path == "/-/health" else self._is_ready()
+        text = b"yes\n" if passed else b"no\n"
         return reply.Reply(
-            200 if fine else 503, (("content-type", "text/plain"),), text
+            200 if passed else 503, (("content-type", "text/plain"),), text
         )
 
-    def _count(self, service: str, given: verdict.Verdict, seconds: float) -> None:
+    def _count(
+        self, service: str, result: verdict.Verdict, elapsed_seconds: float
+    ) -> None:
         self._instruments.count(
             "requests_total",
             "Final answers to callers.",
             service=service,
-            verdict=given.ran.value,
-            reason=given.reason.value,
+            verdict=result.ran.value,
+            reason=result.reason.value,
         )
         self._instruments.observe(
-            "request_seconds", "Time to the final answer.", seconds, service=service
+            "request_seconds",
+            "Time to the final answer.",
+            elapsed_seconds,
+            service=service,
         )
 
 
-async def send_reply(send: Any, given: reply.Reply) -> None:
+async def send_reply(send: Any, answer: reply.Reply) -> None:
     """Send a whole answer."""
     headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
-        for name, value in given.headers
+        for name, value in answer.headers
     ]
-    headers.append((b"content-length", str(len(given.body)).encode()))
+    headers.append((b"content-length", str(len(answer.body)).encode()))
     await send(
-        {"type": "http.response.start", "status": given.status, "headers": headers}
+        {"type": "http.response.start", "status": answer.status, "headers": headers}
     )
-    await send({"type": "http.response.body", "body": given.body})
+    await send({"type": "http.response.body", "body": answer.body})
--- a/wigeonhitch/front/guard.py
+++ b/wigeonhitch/front/guard.py
@@ -1,4 +1,4 @@
-"""Keyed requests: claimed before they are sent, settled when their fate is known."""
+"""Keyed requests: claimed before they are sent, settled when their outcome is known."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
     claims : store.Claims
     dispatch : dispatcher.Dispatcher
     clock : callable
-        Seconds on the clock that counts suspension.
+        Seconds on the clock that includes time in suspension.
     tracing : trace.Tracing
     """
 
@@ -42,9 +42,9 @@
         key: str,
         arrived: event.Arrived,
         request: sender.Attempt,
-        ticket: dispatcher.Ticket,
+        pending: dispatcher.PendingRequest,
     ) -> dispatcher.FinalAnswer:
-        """Serve one keyed request: claim, send, settle."""
+        """Serve one keyed request: claim its key, send it, record the outcome."""
         with self._tracing.open_hop("claim", dict(request.headers)) as hop:
             acquired = await self._claims.acquire(
                 arrived.service,
@@ -59,22 +59,24 @@
         claim = acquired.claim
         try:
             final = await self._dispatch.serve(
-                arrived, request, ticket, lambda: self._refuse_late(claim)
+                arrived, request, pending, lambda: self._refuse_expired(claim)
             )
         except anyio.get_cancelled_exc_class():
             with anyio.CancelScope(shield=True):
-                await self._settle_cancelled(claim, ticket)
+                await self._record_cancelled(claim, pending)
             raise
-        await self._settle(claim, final)
+        await self._record_outcome(claim, final)
         return final
 
-    def _refuse_late(self, claim: store.Claim) -> verdict.Verdict | None:
-        """Refuse an attempt when the claim may have been swept meanwhile."""
+    def _refuse_expired(self, claim: store.Claim) -> verdict.Verdict | None:
+        """Refuse an attempt if the claim may have been removed by a sweep."""
         if self._claims.may_send(claim):
             return None
         return verdict.not_run(verdict.Reason.DEADLINE)
 
-    async def _settle(self, claim: store.Claim, final: dispatcher.FinalAnswer) -> None:
+    async def _record_outcome(
+        self, claim: store.Claim, final: dispatcher.FinalAnswer
+    ) -> None:
         if final.verdict.ran is verdict.Ran.NO:
             await self._claims.release(claim)
         elif final.verdict.ran is verdict.Ran.YES and final.answer is not None:
@@ -82,10 +84,10 @@
         else:
             await self._claims.doubt(claim)
 
-    async def _settle_cancelled(
-        self, claim: store.Claim, ticket: dispatcher.Ticket
+    async def _record_cancelled(
+        self, claim: store.Claim, pending: dispatcher.PendingRequest
     ) -> None:
-        if ticket.attempt:
+        if pending.attempt:
             await self._claims.doubt(claim)
         else:
             await self._claims.release(claim)
--- a/wigeonhitch/front/reply.py
+++ b/wigeonhitch/front/reply.py
@@ -3,7 +3,7 @@
 | verdict | status | header ``Wigeonhitch-Verdict`` | ``Retry-After`` |
 |---|---|---|---|
 | ran | the worker's own | ``ran`` | no |
-| not run | 503, 404 or 422 | ``not run`` | when coming back can help |
+| not run | 503, 404, 400 or 422 | ``not run`` | if a retry can succeed |
 | may have run | 504, or 409 for a key in use | ``may have run`` | for a key in use |
 """
 
@@ -13,7 +13,13 @@
 
 from wigeonhitch import verdict
 
-__all__ = ["REASON_HEADER", "Reply", "VERDICT_HEADER", "make_refusal", "mark"]
+__all__ = [
+    "REASON_HEADER",
+    "Reply",
+    "VERDICT_HEADER",
+    "make_refusal",
+    "add_verdict_headers",
+]
 
 VERDICT_HEADER = "wigeonhitch-verdict"
 REASON_HEADER = "wigeonhitch-reason"
@@ -36,31 +42,33 @@
     body: bytes
 
 
-def make_refusal(given: verdict.Verdict) -> Reply:
-    """Return the answer for a verdict that comes with no worker's answer."""
-    default = STATUS_NOT_RUN if given.ran is verdict.Ran.NO else STATUS_MAY_HAVE_RUN
-    fields = {"verdict": given.ran.value, "reason": given.reason.value}
+def make_refusal(result: verdict.Verdict) -> Reply:
+    """Return the answer for a verdict without a worker's answer."""
+    default_status = (
+        STATUS_NOT_RUN if result.ran is verdict.Ran.NO else STATUS_MAY_HAVE_RUN
+    )
+    fields = {"verdict": result.ran.value, "reason": result.reason.value}
     headers = [("content-type", "application/json")]
-    if given.retry_after > 0:
-        fields["retry_after"] = round(given.retry_after, 3)
-        headers.append(("retry-after", str(math.ceil(given.retry_after))))
+    if result.retry_after > 0:
+        fields["retry_after"] = round(result.retry_after, 3)
+        headers.append(("retry-after", str(math.ceil(result.retry_after))))
     reply = Reply(
-        STATUS.get(given.reason, default),
+        STATUS.get(result.reason, default_status),
         tuple(headers),
         json.dumps(fields).encode(),
     )
-    return mark(reply, given)
+    return add_verdict_headers(reply, result)
 
 
-def mark(reply: Reply, given: verdict.Verdict) -> Reply:
+def add_verdict_headers(reply: Reply, result: verdict.Verdict) -> Reply:
     """Return the reply with the headers that state the verdict."""
-    stated = (
-        (VERDICT_HEADER, given.ran.value),
-        (REASON_HEADER, given.reason.value),
+    verdict_headers = (
+        (VERDICT_HEADER, result.ran.value),
+        (REASON_HEADER, result.reason.value),
     )
-    kept = tuple(
+    other_headers = tuple(
         header
         for header in reply.headers
         if header[0] not in (VERDICT_HEADER, REASON_HEADER)
     )
-    return reply._replace(headers=kept + stated)
+    return reply._replace(headers=other_headers + verdict_headers)
--- a/wigeonhitch/front/sender.py
+++ b/wigeonhitch/front/sender.py
@@ -1,4 +1,4 @@
-"""Sending one attempt to a worker, and judging what its end means."""
+"""Sends one attempt to a worker and classifies the outcome."""
 
 import contextlib
 import ssl
@@ -12,10 +12,10 @@
 from wigeonhitch.front import reply
 from wigeonhitch.telemetry import trace
 
-__all__ = ["Attempt", "Limits", "Result", "Sender", "judge_error"]
+__all__ = ["Attempt", "Limits", "Result", "Sender", "classify_error"]
 
-# Headers that belong to one connection and are never passed on (RFC 9110, 7.6).
-HOP_HEADERS = frozenset(
+# Headers that apply to one connection and are never forwarded (RFC 9110, 7.6).
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -32,10 +32,9 @@
     }
 )
 
-FAILED_STATUS = 500
+MIN_FAILURE_STATUS = 500
 
-# Seconds that a worker has to say that it is healthy.
-PROBE_TIMEOUT = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class Limits(NamedTuple):
@@ -46,12 +45,12 @@
     connections : int
         Connections of this daemon to one worker in use at once: its slots.
     idle : float
-        Seconds after which an idle connection is closed: below the workers'
-        own limit, so that a request doesn't meet a connection just closed.
+        Seconds after which an idle connection is closed. Lower than the workers'
+        own limit, so that a request isn't sent on a connection just closed.
     connect_timeout : float
-        Seconds to connect; a worker in the building answers within a few ms.
+        Seconds to connect; a worker in the same building answers within a few ms.
     body : int
-        Most bytes of a whole answer held in memory, or of a request.
+        Maximum bytes of an answer, which is held in memory, or of a request.
     """
 
     connections: int = 8
@@ -61,9 +60,9 @@
 
 
 class Attempt(NamedTuple):
-    """One request as it goes to a worker.
+    """One request as it is sent to a worker.
 
-    ``kept`` is how many idle connections to the worker may be kept open.
+    ``max_idle`` is how many idle connections to the worker may be kept open.
     """
 
     address: str
@@ -72,20 +71,20 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     timeout: float
-    kept: int = 1
+    max_idle: int = 1
 
 
-class _Outlet:
-    """The client of one worker, how many idle connections it keeps, and its use."""
+class _WorkerClient:
+    """The HTTP client of one worker, its idle connections and requests in flight."""
 
-    def __init__(self, client: httpx.AsyncClient, kept: int) -> None:
+    def __init__(self, client: httpx.AsyncClient, max_idle: int) -> None:
         self.client = client
-        self.kept = kept
+        self.max_idle = max_idle
         self.in_use = 0
 
 
 class Result(NamedTuple):
-    """What came of an attempt; ``answer`` is None without a whole answer."""
+    """Outcome of an attempt; ``answer`` is None without a whole answer."""
 
     verdict: verdict.Verdict
     answer: reply.Reply | None = None
@@ -95,8 +94,8 @@
 class Sender:
     """Owns the HTTP connections to the workers, one client per worker.
 
-    One client for all workers would search all of its connections under one
-    lock for every request; per worker there are at most a few.
+    A single client would search the connections to all workers under one lock for
+    every request; per worker there are only a few.
     """
 
     def __init__(
@@ -110,10 +109,10 @@
         self._tracing = tracing or trace.Tracing(trace.Settings(), "")
         self._limits = limits
         self._context = context
-        self._outlets: dict[str, _Outlet] = {}
+        self._clients: dict[str, _WorkerClient] = {}
 
     async def send(self, attempt: Attempt) -> Result:
-        """Send one attempt; the whole answer is read before it counts."""
+        """Send one attempt and read the whole answer."""
         headers = dict(attempt.headers)
         with self._tracing.open_hop("send", headers, worker=attempt.address) as hop:
             headers.update(hop.headers)
@@ -122,28 +121,28 @@
         return result
 
     async def _exchange(self, attempt: Attempt, headers: dict[str, str]) -> Result:
-        outlet = await self._find_outlet(attempt)
-        request = outlet.client.build_request(
+        worker_client = await self._open_client(attempt)
+        request = worker_client.client.build_request(
             attempt.method,
             attempt.path,
             headers=headers,
             content=attempt.body,
         )
-        outlet.in_use += 1
+        worker_client.in_use += 1
         try:
             with anyio.fail_after(attempt.timeout):
-                return await self._receive(outlet.client, request)
+                return await self._receive(worker_client.client, request)
         except TimeoutError:
             return Result(verdict.may_have_run(verdict.Reason.TIMEOUT))
         except (httpx.HTTPError, httpx.InvalidURL) as error:
-            return Result(judge_error(error))
+            return Result(classify_error(error))
         finally:
-            outlet.in_use -= 1
+            worker_client.in_use -= 1
 
     async def _receive(
         self, client: httpx.AsyncClient, request: httpx.Request
     ) -> Result:
-        """Read the whole answer, up to the limit; a longer one is given up."""
+        """Read the whole answer; one that exceeds the size limit is abandoned."""
         response = await client.send(request, stream=True)
         try:
             parts = []
@@ -155,45 +154,53 @@
                 parts.append(part)
         finally:
             await response.aclose()
-        return _judge_response(response, b"".join(parts))
+        return _classify_response(response, b"".join(parts))
 
-    async def _find_outlet(self, attempt: Attempt) -> _Outlet:
-        """Return the worker's client; an unused one follows a changed limit.
+    async def _open_client(self, attempt: Attempt) -> _WorkerClient:
+        """Return the worker's client, replaced if unused and its idle limit changed.
 
-        The worker's connections are shared out over the daemons, so the limit
-        changes with their number.
+        The worker's connections are divided among the daemons, so the limit changes
+        with their number.
         """
-        outlet = self._outlets.get(attempt.address)
-        if outlet is not None and outlet.kept != attempt.kept and not outlet.in_use:
-            del self._outlets[attempt.address]
-            await outlet.client.aclose()
-            outlet = self._outlets.get(attempt.address)
-        if outlet is None:
-            client = self._make_client(attempt.address, attempt.kept)
-            outlet = self._outlets[attempt.address] = _Outlet(client, attempt.kept)
-        return outlet
+        worker_client = self._clients.get(attempt.address)
+        if (
+            worker_client is not None
+            and worker_client.max_idle != attempt.max_idle
+            and not worker_client.in_use
+        ):
+            del self._clients[attempt.address]
+            await worker_client.client.aclose()
+            worker_client = self._clients.get(attempt.address)
+        if worker_client is None:
+            client = self._make_client(attempt.address, attempt.max_idle)
+            worker_client = self._clients[attempt.address] = _WorkerClient(
+                client, attempt.max_idle
+            )
+        return worker_client
 
     async def close_unlisted(self, addresses: frozenset[str]) -> None:
         """Close the unused clients of workers that are no longer listed."""
-        for address, outlet in list(self._outlets.items()):
-            if address not in addresses and not outlet.in_use:
-                del self._outlets[address]
-                await outlet.client.aclose()
+        for address, worker_client in list(self._clients.items()):
+            if address not in addresses and not worker_client.in_use:
+                del self._clients[address]
+                await worker_client.client.aclose()
 
     async def close(self) -> None:
         """Close all connections."""
-        for outlet in self._outlets.values():
-            await outlet.client.aclose()
+        for worker_client in self._clients.values():
+            await worker_client.client.aclose()
 
     async def probe(self, address: str) -> bool:
-        """Whether the worker says that it is healthy."""
-        outlet = self._outlets.get(address)
-        kept = outlet.kept if outlet is not None else 1
-        attempt = Attempt(address, "GET", "/health", (), b"", PROBE_TIMEOUT, kept)
+        """Return whether the worker reports that it is healthy."""
+        worker_client = self._clients.get(address)
+        max_idle = worker_client.max_idle if worker_client is not None else 1
+        attempt = Attempt(
+            address, "GET", "/health", (), b"", PROBE_TIMEOUT_SECONDS, max_idle
+        )
         result = await self.send(attempt)
         return result.answer is not None and result.answer.status == 200
 
-    def _make_client(self, address: str, kept: int) -> httpx.AsyncClient:
+    def _make_client(self, address: str, max_idle: int) -> httpx.AsyncClient:
         scheme = "http" if self._context is None else "https"
         client = httpx.AsyncClient(
             base_url=f"{scheme}://{address}",
@@ -202,18 +209,18 @@
             timeout=httpx.Timeout(None, connect=self._limits.connect_timeout),
             limits=httpx.Limits(
                 max_connections=self._limits.connections,
-                max_keepalive_connections=kept,
+                max_keepalive_connections=max_idle,
                 keepalive_expiry=self._limits.idle,
             ),
         )
-        # The library's own headers would speak for the caller: a worker could
-        # compress an answer for a caller who can't read that.
+        # Without this, the library's own headers would be sent as the caller's: a
+        # worker could compress an answer for a caller that can't decompress it.
         for name in list(client.headers):
             del client.headers[name]
         return client
 
 
-def judge_error(error: Exception) -> verdict.Verdict:
+def classify_error(error: Exception) -> verdict.Verdict:
     """Return what a failed exchange says about whether the request ran.
 
     Only an error that comes before any byte was written means "not run".
@@ -234,10 +241,10 @@
 
 def select_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
     """Return the end-to-end headers."""
-    return tuple(item for item in headers.items() if item[0] not in HOP_HEADERS)
+    return tuple(item for item in headers.items() if item[0] not in HOP_BY_HOP_HEADERS)
 
 
-def _judge_response(response: httpx.Response, body: bytes) -> Result:
+def _classify_response(response: httpx.Response, body: bytes) -> Result:
     refused = (
         response.status_code == reply.STATUS_NOT_RUN
         and response.headers.get(reply.VERDICT_HEADER) == verdict.Ran.NO.value
@@ -245,5 +252,5 @@
     if refused:
         return Result(verdict.not_run(verdict.Reason.WORKER_REFUSED))
     headers = select_headers(response.headers)
-    made = reply.Reply(response.status_code, headers, body)
-    return Result(verdict.ran(), made, response.status_code >= FAILED_STATUS)
+    answer = reply.Reply(response.status_code, headers, body)
+    return Result(verdict.ran(), answer, response.status_code >= MIN_FAILURE_STATUS)
--- a/wigeonhitch/front/tests/conftest.py
+++ b/wigeonhitch/front/tests/conftest.py
@@ -14,8 +14,8 @@
 TRACING = trace.Tracing(trace.Settings(), "d1")
 
 
-class Outlet:
-    """Stands in for the sender: answers as told, notes what was sent."""
+class FakeSender:
+    """Replaces the sender: returns the given results and records what was sent."""
 
     def __init__(self):
         self.sent = []
@@ -33,20 +33,20 @@
 
 
 class Front:
-    """The callers' side of one daemon on fakes, driven without sockets."""
+    """The front end of one daemon on fakes, driven without sockets."""
 
     def __init__(self):
         self.platform = fake.Fake(suspends=True)
-        self.outlet = Outlet()
+        self.sender = FakeSender()
         self.may_send = True
         self.ready = True
         self.alive = True
         self.instruments = metric.Instruments()
         self.dispatch = dispatcher.Dispatcher(
             core.Core("d1", seed=1),
-            self.outlet,
+            self.sender,
             client.read_clock,
-            lambda told, traces: None,
+            lambda to_send, traces: None,
             lambda vm: f"{vm}:80",
             lambda: self.may_send,
         )
@@ -55,7 +55,7 @@
         )
         workers = (event.Worker("w1"), event.Worker("w2"))
         self.dispatch.apply(event.ViewChanged(1, {"pool": workers}))
-        entry = application.Entry("pool", "urgent", 5.0)
+        entry = application.ServiceEntry("pool", "urgent", 5.0)
         self.catalogue = application.Catalogue({"match": entry}, {"urgent": 5.0})
         self.application = application.Application(
             self.dispatch,
@@ -73,13 +73,13 @@
     async def ask(
         self, method="GET", path="/match/x", body=b"", headers=None, left=None
     ):
-        """Send one request; ``left`` is an event at which the caller leaves."""
+        """Send one request; ``left`` is an event at which the caller disconnects."""
         sent = []
-        given = [{"type": "http.request", "body": body, "more_body": False}]
+        incoming = [{"type": "http.request", "body": body, "more_body": False}]
 
         async def receive():
-            if given:
-                return given.pop(0)
+            if incoming:
+                return incoming.pop(0)
             await (left.wait() if left is not None else anyio.sleep_forever())
             return {"type": "http.disconnect"}
 
@@ -103,9 +103,9 @@
 
 @pytest.fixture
 async def front():
-    made = Front()
+    front_side = Front()
     async with anyio.create_task_group() as group:
-        await group.start(made.claims.run)
-        group.start_soon(made.dispatch.run_timer)
-        yield made
+        await group.start(front_side.claims.run)
+        group.start_soon(front_side.dispatch.run_timer)
+        yield front_side
         group.cancel_scope.cancel()
--- a/wigeonhitch/front/tests/test_sender.py
+++ b/wigeonhitch/front/tests/test_sender.py
@@ -17,7 +17,7 @@
 
 
 async def listen(stack, serve):
-    """Serve connections until the group is cancelled; return it and the port."""
+    """Serve connections until the group is cancelled; return the group and the port."""
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     await stack.enter_async_context(listener)
@@ -38,9 +38,9 @@
 
     async with contextlib.AsyncExitStack() as stack:
         group, port = await listen(stack, serve)
-        outlet = sender.Sender(stack, sender.Limits(body=100))
+        client = sender.Sender(stack, sender.Limits(body=100))
         attempt = sender.Attempt(f"127.0.0.1:{port}", "POST", "/x", (), b"", timeout)
-        result = await outlet.send(attempt)
+        result = await client.send(attempt)
         group.cancel_scope.cancel()
     return result
 
@@ -70,11 +70,11 @@
 
 
 @pytest.mark.anyio
-async def test_worker_that_is_not_there_did_not_run_it():
+async def test_unreachable_worker_yields_not_run():
     async with contextlib.AsyncExitStack() as stack:
-        outlet = sender.Sender(stack)
+        client = sender.Sender(stack)
         attempt = sender.Attempt("127.0.0.1:1", "POST", "/x", (), b"", 1.0)
-        assert (await outlet.send(attempt)).verdict.ran is verdict.Ran.NO
+        assert (await client.send(attempt)).verdict.ran is verdict.Ran.NO
 
 
 @pytest.mark.parametrize(
@@ -82,7 +82,7 @@
     [httpx.ReadError("x"), httpx.WriteError("x"), httpx.RemoteProtocolError("x")],
 )
 def test_error_after_the_first_byte_never_means_not_run(error):
-    assert sender.judge_error(error).ran is verdict.Ran.MAYBE
+    assert sender.classify_error(error).ran is verdict.Ran.MAYBE
 
 
 @pytest.mark.anyio
@@ -98,35 +98,37 @@
 
     async with contextlib.AsyncExitStack() as stack:
         group, port = await listen(stack, serve)
-        outlet = sender.Sender(stack)
+        client = sender.Sender(stack)
         address = f"127.0.0.1:{port}"
-        attempt = sender.Attempt(address, "GET", "/x", (), b"", 1.0, kept=1)
+        attempt = sender.Attempt(address, "GET", "/x", (), b"", 1.0, max_idle=1)
         for _ in range(3):
-            await outlet.send(attempt)
-            await outlet.probe(address)
+            await client.send(attempt)
+            await client.probe(address)
         assert len(opened) == 1
         for _ in range(3):
-            await outlet.send(attempt._replace(kept=0))
+            await client.send(attempt._replace(max_idle=0))
         assert len(opened) == 4
-        await outlet.close()
+        await client.close()
         group.cancel_scope.cancel()
 
 
 @pytest.mark.anyio
 async def test_worker_sees_the_callers_headers_and_no_others():
-    got = []
+    received = []
 
     async def serve(stream):
         async with stream:
-            got.append(await stream.receive())
+            received.append(await stream.receive())
             await stream.send(WHOLE)
 
     async with contextlib.AsyncExitStack() as stack:
         group, port = await listen(stack, serve)
-        outlet = sender.Sender(stack)
+        client = sender.Sender(stack)
         headers = (("x-mine", "1"),)
         attempt = sender.Attempt(f"127.0.0.1:{port}", "GET", "/x", headers, b"", 1.0)
-        await outlet.send(attempt)
+        await client.send(attempt)
         group.cancel_scope.cancel()
-    names = {line.split(b":")[0].lower() for line in got[0].splitlines()[1:] if line}
+    names = {
+        line.split(b":")[0].lower() for line in received[0].splitlines()[1:] if line
+    }
     assert names == {b"host", b"x-mine"}
