--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -129,7 +129,7 @@
         """Ask the store; the answer shows the moment halfway."""
         started = self.now
         delay = self.rng.uniform(*self.case.store)
-        patience = self.cores[daemon].limits.patience
+        patience = self.cores[daemon].limits.read_timeout
         silent = self.case.silent and daemon != 0 and self.now > SPACING
         lost = silent or daemon in self.cut
 
--- a/wigeonhitch/command/tests/conftest.py
+++ b/wigeonhitch/command/tests/conftest.py
@@ -91,7 +91,7 @@
             yield client.Client(connection.daemons, http)
 
     monkeypatch.setattr(client, "open_client", open_client)
-    monkeypatch.setattr(store, "PAUSE", 0.0)
+    monkeypatch.setattr(store, "RETRY_PAUSE_SECONDS", 0.0)
     monkeypatch.setenv("WIGEONHITCH_SECRET", SECRET)
     monkeypatch.setenv("WIGEONHITCH_DAEMON", DAEMON)
 
--- a/wigeonhitch/configuration/distribution.py
+++ b/wigeonhitch/configuration/distribution.py
@@ -63,7 +63,7 @@
         Seconds after which an unanswered question counts as unanswered.
     retry : float
         Seconds after which a fetch is tried again elsewhere.
-    patience : float
+    read_timeout : float
         Seconds that a read of the signal may take. Long enough for a slow
         store, below ``cut_off`` so that what it answers is still news.
     """
@@ -74,7 +74,7 @@
     fan_out: int = 3
     answer: float = 1.0
     retry: float = 0.5
-    patience: float = 4.0
+    read_timeout: float = 4.0
 
 
 class Readiness(enum.Enum):
--- a/wigeonhitch/configuration/store.py
+++ b/wigeonhitch/configuration/store.py
@@ -31,7 +31,7 @@
 # seconds after which a console gives up.
 TRIES = 5
 # Pause between tries, seconds; grows with the try.
-PAUSE = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 
 # Documents kept by hash: the one in force and those being discussed. At the
 # target a document takes about 1 MB as records, so eight stay small.
@@ -108,7 +108,7 @@
         The platform's object store.
     sleep : callable
         Waits so many seconds between tries.
-    note_accepted : callable
+    on_accepted : callable
         Called with version, hash and content when a commit from here put a
         version in force. Should the store go down right after, this daemon
         is the only one that knows; it must pass the news on.
@@ -119,12 +119,12 @@
         rows: table.Table,
         objects: table.ObjectStore,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
-        note_accepted: Callable[[int, str, bytes], None] = ignore,
+        on_accepted: Callable[[int, str, bytes], None] = ignore,
     ) -> None:
         self.rows = rows
         self.objects = objects
         self.sleep = sleep
-        self.note_accepted = note_accepted
+        self.on_accepted = on_accepted
         self.documents: collections.OrderedDict[str, document.Document] = (
             collections.OrderedDict()
         )
@@ -212,7 +212,7 @@
         lost = False
         for attempt in range(TRIES):
             if attempt:
-                await self.sleep(PAUSE * attempt)
+                await self.sleep(RETRY_PAUSE_SECONDS * attempt)
             state = await self.read_state(submission)
             if state.outcome is not table.Outcome.DONE:
                 continue
@@ -237,7 +237,7 @@
         intended = await self.load(result.known.hash)
         if intended is not None:
             data = canonical.encode(intended)
-            self.note_accepted(result.version, result.known.hash, data)
+            self.on_accepted(result.version, result.known.hash, data)
 
     async def read_state(self, submission: str) -> State:
         """Read the version in force and one proposal."""
@@ -256,7 +256,7 @@
             outcome = await self.objects.put(name, data, purpose=PURPOSE)
             if outcome is table.Outcome.DONE:
                 return True
-            await self.sleep(PAUSE * (attempt + 1))
+            await self.sleep(RETRY_PAUSE_SECONDS * (attempt + 1))
         return False
 
     async def load(self, content: str) -> document.Document | None:
--- a/wigeonhitch/configuration/tests/conftest.py
+++ b/wigeonhitch/configuration/tests/conftest.py
@@ -27,5 +27,5 @@
 
 @pytest.fixture
 def documents(platform, monkeypatch):
-    monkeypatch.setattr(store, "PAUSE", 0.0)
+    monkeypatch.setattr(store, "RETRY_PAUSE_SECONDS", 0.0)
     return store.Store(platform.table, platform.objects)
--- a/wigeonhitch/configuration/tests/test_distribution.py
+++ b/wigeonhitch/configuration/tests/test_distribution.py
@@ -380,7 +380,7 @@
         None,
         lambda: platform.now,
         install=lambda version, intended: installed.append((version, intended)),
-        note_fleet=fleet.append,
+        on_fleet_change=fleet.append,
     )
     free = altiplano._replace(approvals=())
     await documents.submit(store.Submission("s", 0, free, "ana"))
--- a/wigeonhitch/configuration/tests/test_store.py
+++ b/wigeonhitch/configuration/tests/test_store.py
@@ -108,14 +108,14 @@
     documents = store.Store(
         platform.table,
         platform.objects,
-        note_accepted=lambda *news: noted.append(news),
+        on_accepted=lambda *news: noted.append(news),
     )
     await documents.submit(submission(altiplano))
     assert noted == []
     other = store.Store(
         platform.table,
         platform.objects,
-        note_accepted=lambda *news: noted.append(news),
+        on_accepted=lambda *news: noted.append(news),
     )
     data = canonical.encode(altiplano)
     content = canonical.hash_bytes(data)
--- a/wigeonhitch/configuration/watcher.py
+++ b/wigeonhitch/configuration/watcher.py
@@ -58,7 +58,7 @@
         Seconds on the clock that counts suspension.
     install : callable
         Called with version and document whenever a version comes into force.
-    note_fleet : callable
+    on_fleet_change : callable
         Called with the version of the row ``signal/fleet`` when it moves.
     """
 
@@ -71,7 +71,7 @@
         clock: Callable[[], float],
         *,
         install: Callable[[int, document.Document], None],
-        note_fleet: Callable[[int], None] = lambda version: None,
+        on_fleet_change: Callable[[int], None] = lambda version: None,
     ) -> None:
         self.core = core
         self.rows = rows
@@ -79,7 +79,7 @@
         self.peers = peers
         self.clock = clock
         self.install = install
-        self.note_fleet = note_fleet
+        self.on_fleet_change = on_fleet_change
         self.dropped = 0
         self._fleet = 0
         self._readiness = distribution.Readiness.STARTING
@@ -102,7 +102,7 @@
         """Take the present peers, without this daemon."""
         self.post(message.PeersChanged(peers))
 
-    def note_accepted(self, version: int, content: str, data: bytes) -> None:
+    def handle_accepted(self, version: int, content: str, data: bytes) -> None:
         """Take a version that this daemon itself put in force, and its content."""
         self.post(message.Received("", message.Tell(version, content)))
         self.post(message.Fetched(content, data))
@@ -154,15 +154,15 @@
 
     async def _poll(self) -> None:
         started = self.clock()
-        patience = self.core.limits.patience
-        found = await self.rows.read(SIGNALS, purpose=PURPOSE, timeout=patience)
+        read_timeout = self.core.limits.read_timeout
+        found = await self.rows.read(SIGNALS, purpose=PURPOSE, timeout=read_timeout)
         if found.outcome is not table.Outcome.DONE:
             await self._send.send(message.Polled(started, None))
             return
         signal, fleet = found.rows
         if fleet.version > self._fleet:
             self._fleet = fleet.version
-            self.note_fleet(fleet.version)
+            self.on_fleet_change(fleet.version)
         await self._send.send(message.Polled(started, signal.version))
 
     async def _read_current(self) -> None:
--- a/wigeonhitch/daemon/assembly.py
+++ b/wigeonhitch/daemon/assembly.py
@@ -103,7 +103,7 @@
         self.documents = store.Store(
             self.table,
             self.platform,
-            note_accepted=lambda *news: self.watcher.note_accepted(*news),
+            on_accepted=lambda *news: self.watcher.handle_accepted(*news),
         )
         self.watcher = watcher.Watcher(
             distribution.Distribution(distribution.Limits(), random.Random()),
@@ -112,7 +112,7 @@
             exchange.PeerDocuments(self.membership),
             self.clock,
             install=self._install,
-            note_fleet=lambda version: self.following.note_moved(),
+            on_fleet_change=lambda version: self.following.note_moved(),
         )
 
     def build_requests(self, outlet: sender.Sender) -> None:
