--- a/wigeonhitch/configuration/acceptance.py
+++ b/wigeonhitch/configuration/acceptance.py
@@ -72,7 +72,7 @@
 
     status: Status
     version: int = 0
-    known: proposal.Proposal | None = None
+    stored: proposal.Proposal | None = None
     reason: str = ""
 
 
@@ -86,7 +86,7 @@
 
 def decide_submission(
     current: proposal.Current,
-    known: proposal.Proposal | None,
+    stored: proposal.Proposal | None,
     submitted: proposal.Proposal,
 ) -> Result | Commit:
     """Decide about a submission.
@@ -101,53 +101,55 @@
     submitted : Proposal
         The submission, with the needs that the rules in force ask for.
     """
-    if known is not None:
-        return recall_submission(current, known, submitted)
+    if stored is not None:
+        return resolve_repeat(current, stored, submitted)
     if current.version != submitted.base:
-        return conflict(current, None)
+        return build_conflict(current, None)
     if current.hash == submitted.hash:
         return Result(Status.UNCHANGED, current.version)
     if submitted.missing:
         writes = (proposal.write_proposal(submitted),)
         result = Result(Status.WAITING, current.version, submitted)
         return Commit((submitted.condition, current.condition), writes, result)
-    return accept(current, submitted, submitted.author, submitted.submitted)
+    return build_acceptance(current, submitted, submitted.author, submitted.submitted)
 
 
-def recall_submission(
+def resolve_repeat(
     current: proposal.Current,
-    known: proposal.Proposal,
+    stored: proposal.Proposal,
     submitted: proposal.Proposal,
 ) -> Result:
     """Return what became of a submission that is already stored."""
-    same = (known.base, known.hash, known.author)
-    if same != (submitted.base, submitted.hash, submitted.author):
-        reason = f"it holds {known.hash[:12]} by {known.author} on {known.base}"
-        return Result(Status.REUSED, current.version, known, reason)
-    return describe(current, known)
+    identity = (stored.base, stored.hash, stored.author)
+    if identity != (submitted.base, submitted.hash, submitted.author):
+        reason = f"it holds {stored.hash[:12]} by {stored.author} on {stored.base}"
+        return Result(Status.REUSED, current.version, stored, reason)
+    return build_result(current, stored)
 
 
-def describe(current: proposal.Current, known: proposal.Proposal) -> Result:
+def build_result(current: proposal.Current, stored: proposal.Proposal) -> Result:
     """Return the result that a stored proposal stands for."""
-    if known.state is proposal.State.ACCEPTED:
-        return Result(Status.ACCEPTED, known.version, known)
-    if known.state is proposal.State.REJECTED:
-        reason = f"by {known.decider}: {known.reason}"
-        return Result(Status.REJECTED, current.version, known, reason)
-    if known.base != current.version:
-        return conflict(current, known)
-    return Result(Status.WAITING, current.version, known)
-
-
-def conflict(current: proposal.Current, known: proposal.Proposal | None) -> Result:
+    if stored.state is proposal.State.ACCEPTED:
+        return Result(Status.ACCEPTED, stored.version, stored)
+    if stored.state is proposal.State.REJECTED:
+        reason = f"by {stored.decider}: {stored.reason}"
+        return Result(Status.REJECTED, current.version, stored, reason)
+    if stored.base != current.version:
+        return build_conflict(current, stored)
+    return Result(Status.WAITING, current.version, stored)
+
+
+def build_conflict(
+    current: proposal.Current, stored: proposal.Proposal | None
+) -> Result:
     """Return the result that names the version to rebase on."""
     reason = f"rebase on version {current.version} by {current.author or 'nobody'}"
-    return Result(Status.CONFLICT, current.version, known, reason)
+    return Result(Status.CONFLICT, current.version, stored, reason)
 
 
 def decide_approval(
     current: proposal.Current,
-    known: proposal.Proposal | None,
+    stored: proposal.Proposal | None,
     given: approval.Given,
 ) -> Result | Commit:
     """Decide about an approval that an operator gives.
@@ -161,27 +163,27 @@
     given : approval.Given
         Who approves, with which roles, and the content they saw.
     """
-    if known is None:
+    if stored is None:
         return Result(Status.MISSING, current.version)
-    standing = describe(current, known)
-    if standing.status is not Status.WAITING:
-        return standing
-    if given.hash != known.hash:
-        reason = f"it holds {known.hash}"
-        return Result(Status.OTHER_CONTENT, current.version, known, reason)
-    if given.operator == known.author:
-        return Result(Status.OWN, current.version, known)
-    if any(one.operator == given.operator for one in known.given):
-        return standing
-    asked = {role for need in known.needs for role in need.roles}
-    if not asked & set(given.roles):
-        reason = "asked for: " + ", ".join(sorted(asked))
-        return Result(Status.NO_ROLE, current.version, known, reason)
-    approved = known._replace(given=(*known.given, given))
+    result = build_result(current, stored)
+    if result.status is not Status.WAITING:
+        return result
+    if given.hash != stored.hash:
+        reason = f"it holds {stored.hash}"
+        return Result(Status.OTHER_CONTENT, current.version, stored, reason)
+    if given.operator == stored.author:
+        return Result(Status.OWN, current.version, stored)
+    if any(entry.operator == given.operator for entry in stored.given):
+        return result
+    requested_roles = {role for need in stored.needs for role in need.roles}
+    if not requested_roles & set(given.roles):
+        reason = "asked for: " + ", ".join(sorted(requested_roles))
+        return Result(Status.NO_ROLE, current.version, stored, reason)
+    approved = stored._replace(given=(*stored.given, given))
     if not approved.missing:
-        return accept(current, approved, given.operator, given.time)
+        return build_acceptance(current, approved, given.operator, given.time)
     return Commit(
-        (known.condition, current.condition),
+        (stored.condition, current.condition),
         (proposal.write_proposal(approved),),
         Result(Status.WAITING, current.version, approved),
     )
@@ -189,24 +191,24 @@
 
 def decide_rejection(
     current: proposal.Current,
-    known: proposal.Proposal | None,
+    stored: proposal.Proposal | None,
     operator: str,
     reason: str,
     time: float,
 ) -> Result | Commit:
     """Decide about a rejection; the author may withdraw in the same way."""
-    if known is None:
+    if stored is None:
         return Result(Status.MISSING, current.version)
-    if known.state is not proposal.State.WAITING:
-        return describe(current, known)
-    rejected = known._replace(
+    if stored.state is not proposal.State.WAITING:
+        return build_result(current, stored)
+    rejected = stored._replace(
         state=proposal.State.REJECTED, decider=operator, reason=reason, decided=time
     )
     writes = (proposal.write_proposal(rejected),)
-    return Commit((known.condition,), writes, describe(current, rejected))
+    return Commit((stored.condition,), writes, build_result(current, rejected))
 
 
-def accept(
+def build_acceptance(
     current: proposal.Current, approved: proposal.Proposal, decider: str, time: float
 ) -> Commit:
     """Return the commit that puts a proposal in force as the next version."""
@@ -214,14 +216,14 @@
     accepted = approved._replace(
         state=proposal.State.ACCEPTED, version=version, decider=decider, decided=time
     )
-    head = {
+    current_value = {
         "version": version,
         "hash": accepted.hash,
         "submission": accepted.id,
         "author": accepted.author,
     }
-    given = [one._asdict() | {"roles": list(one.roles)} for one in accepted.given]
-    record = head | {
+    given = [entry._asdict() | {"roles": list(entry.roles)} for entry in accepted.given]
+    record = current_value | {
         "base": accepted.base,
         "note": accepted.note,
         "given": given,
@@ -230,11 +232,11 @@
     conditions = (
         accepted.condition,
         current.condition,
-        table.Condition(proposal.name_version(version), 0),
+        table.Condition(proposal.get_version_key(version), 0),
     )
     writes = (
-        table.Write(proposal.CURRENT, head),
-        table.Write(proposal.name_version(version), record),
+        table.Write(proposal.CURRENT, current_value),
+        table.Write(proposal.get_version_key(version), record),
         proposal.write_proposal(accepted),
         table.Write(proposal.SIGNAL, {}),
     )
--- a/wigeonhitch/configuration/approval.py
+++ b/wigeonhitch/configuration/approval.py
@@ -70,7 +70,7 @@
 
 
 def count_approvals(
-    need: Need, given: tuple[Given, ...], author: str, content: str, base: int
+    need: Need, given: tuple[Given, ...], author: str, content_hash: str, base: int
 ) -> int:
     """Return how many approvals count towards one need.
 
@@ -79,12 +79,12 @@
     once however often they approve.
     """
     counted = {
-        one.operator
-        for one in given
-        if one.operator != author
-        and one.hash == content
-        and one.base == base
-        and set(one.roles) & set(need.roles)
+        entry.operator
+        for entry in given
+        if entry.operator != author
+        and entry.hash == content_hash
+        and entry.base == base
+        and set(entry.roles) & set(need.roles)
     }
     return len(counted)
 
@@ -93,13 +93,15 @@
     needs: tuple[Need, ...],
     given: tuple[Given, ...],
     author: str,
-    content: str,
+    content_hash: str,
     base: int,
 ) -> tuple[Need, ...]:
     """Return the needs that are not met, each with the number still missing."""
     missing = []
     for need in needs:
-        left = need.approvals - count_approvals(need, given, author, content, base)
-        if left > 0:
-            missing.append(need._replace(approvals=left))
+        remaining = need.approvals - count_approvals(
+            need, given, author, content_hash, base
+        )
+        if remaining > 0:
+            missing.append(need._replace(approvals=remaining))
     return tuple(missing)
--- a/wigeonhitch/configuration/check.py
+++ b/wigeonhitch/configuration/check.py
@@ -12,18 +12,18 @@
 
 from wigeonhitch.configuration import document, problem, references, schema
 
-__all__ = ["LARGEST_TEXT", "Checked", "check_plain", "check_text", "load_canonical"]
+__all__ = ["MAX_TEXT_LENGTH", "Checked", "check_plain", "check_text", "load_canonical"]
 
 # Largest text that is parsed, bytes: 128 pools, 130 teams and a wave for each
 # pool take about 80 kB; the limit keeps one request from filling a daemon.
-LARGEST_TEXT = 1_000_000
+MAX_TEXT_LENGTH = 1_000_000
 
 ADAPTER = pydantic.TypeAdapter(
     document.Document,
     config=pydantic.ConfigDict(strict=True, allow_inf_nan=False),
 )
 
-WORDING = {
+EXPECTED_BY_ERROR_TYPE = {
     "missing": "a value",
     "missing_argument": "a value",
     "extra_forbidden": "no such key",
@@ -49,18 +49,18 @@
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict:
         """Build one mapping from a node; its keys must differ."""
-        seen = set()
+        seen_keys = set()
         for key_node, _ in node.value:
             key = self.construct_object(key_node, deep=True)
             if not isinstance(key, str):
                 raise yaml.constructor.ConstructorError(
                     None, None, f"key {key!r} is not text", key_node.start_mark
                 )
-            if key in seen:
+            if key in seen_keys:
                 raise yaml.constructor.ConstructorError(
                     None, None, f"key {key!r} is given twice", key_node.start_mark
                 )
-            seen.add(key)
+            seen_keys.add(key)
         return super().construct_mapping(node, deep)
 
     def compose_node(self, parent: Any, index: Any) -> Any:
@@ -86,26 +86,26 @@
     Checked
         The document, or all of its problems.
     """
-    if len(text) > LARGEST_TEXT:
-        return refuse(f"at most {LARGEST_TEXT} characters", len(text))
+    if len(text) > MAX_TEXT_LENGTH:
+        return build_refusal(f"at most {MAX_TEXT_LENGTH} characters", len(text))
     try:
         data = yaml.load(text, Loader=UniqueKeyLoader)
     except (yaml.YAMLError, RecursionError, ValueError) as error:
-        return refuse("well-formed YAML or JSON", " ".join(str(error).split()))
+        return build_refusal("well-formed YAML or JSON", " ".join(str(error).split()))
     return check_plain(data)
 
 
 def check_plain(data: Any) -> Checked:
     """Check a decoded document (dicts, lists, text, numbers)."""
     if not isinstance(data, dict):
-        return refuse("an object", data)
+        return build_refusal("an object", data)
     try:
         text = json.dumps(data)
     except (TypeError, ValueError, RecursionError) as error:
-        return refuse("only text, numbers, lists and objects", str(error))
+        return build_refusal("only text, numbers, lists and objects", str(error))
     problems = [
         problem.Problem(problem.format_place(parts), "a list", "an object")
-        for parts in schema.find_lists(schema.build_schema(), data, ())
+        for parts in schema.find_misplaced_lists(schema.build_schema(), data, ())
     ]
     try:
         intended = ADAPTER.validate_json(text)
@@ -126,7 +126,7 @@
         return None
 
 
-def refuse(expected: str, value: Any) -> Checked:
+def build_refusal(expected: str, value: Any) -> Checked:
     """Return the outcome of a text that is no document at all."""
     return Checked(None, (problem.Problem("", value, expected),))
 
@@ -134,7 +134,7 @@
 def translate_error(detail: Any) -> problem.Problem:
     """Return a problem for one error of the validation library."""
     kind = detail["type"]
-    expected = WORDING.get(kind)
+    expected = EXPECTED_BY_ERROR_TYPE.get(kind)
     if expected is None:
         expected = detail["msg"].removeprefix("Input should be ")
     value = None if kind.startswith("missing") else detail["input"]
--- a/wigeonhitch/configuration/distribution.py
+++ b/wigeonhitch/configuration/distribution.py
@@ -30,15 +30,15 @@
     canonical,
     check,
     document,
-    hearing,
     message,
+    quorum,
 )
 
 __all__ = ["Distribution", "Limits", "Readiness"]
 
 # Whether a fetch goes to a peer, by the number of the fetch.
-PEER_TURNS = (True, False)
-PEER_TURNS_SILENT = (False, True, True, True)
+PEER_TURNS_NORMAL = (True, False)
+PEER_TURNS_STORE_SILENT = (False, True, True, True)
 
 
 class Limits(NamedTuple):
@@ -68,12 +68,12 @@
         store, below ``cut_off`` so that what it answers is still news.
     """
 
-    poll: float = 1.0
+    poll_interval: float = 1.0
     jitter: float = 0.2
-    cut_off: float = 6.0
+    max_staleness: float = 6.0
     fan_out: int = 3
-    answer: float = 1.0
-    retry: float = 0.5
+    answer_timeout: float = 1.0
+    fetch_retry_interval: float = 0.5
     read_timeout: float = 4.0
 
 
@@ -117,19 +117,19 @@
         self.peers: tuple[str, ...] = ()
         self._target = 0
         self._target_hash = ""
-        self._holder = ""
-        self._target_seen = float("-inf")
-        self._confirmed = float("-inf")
-        self._disagrees = False
-        self._signal: int | None = None
-        self._store_heard = float("-inf")
-        self._next_poll = float("-inf")
+        self._target_peer = ""
+        self._target_as_of = float("-inf")
+        self._confirmed_as_of = float("-inf")
+        self._hash_disagrees = False
+        self._signal_version: int | None = None
+        self._store_answered_as_of = float("-inf")
+        self._next_poll_at = float("-inf")
         self._polling = False
-        self._fetching_since = float("-inf")
-        self._fetches = 0
-        self._asked_store = False
-        self._hearing = hearing.Hearing(limits.cut_off, limits.answer)
-        self._next_ask = float("-inf")
+        self._last_fetch_at = float("-inf")
+        self._fetch_count = 0
+        self._fetching_from_store = False
+        self._quorum = quorum.PeerQuorum(limits.max_staleness, limits.answer_timeout)
+        self._next_ask_at = float("-inf")
 
     def handle(self, event: message.Event, now: float) -> list[message.Action]:
         """Take one event and return what is to be done.
@@ -143,13 +143,13 @@
         """
         match event:
             case message.Polled():
-                return self._take_poll(event, now)
+                return self._handle_polled(event, now)
             case message.CurrentRead():
-                return self._take_current(event, now)
+                return self._handle_current_read(event, now)
             case message.Fetched():
-                return self._take_content(event, now)
+                return self._handle_fetched(event, now)
             case message.Received():
-                return self._take_message(event.peer, event.message, now)
+                return self._handle_received(event.peer, event.message, now)
             case message.PeersChanged():
                 self.peers = event.peers
                 return []
@@ -158,89 +158,95 @@
     def readiness(self, now: float) -> Readiness:
         """Return whether this daemon may serve at this moment."""
         if self.version == 0:
-            fresh = now - self._store_heard <= self.limits.cut_off
-            return Readiness.NO_DOCUMENT if fresh else Readiness.STARTING
-        if self._disagrees:
+            store_answers_recent = (
+                now - self._store_answered_as_of <= self.limits.max_staleness
+            )
+            return Readiness.NO_DOCUMENT if store_answers_recent else Readiness.STARTING
+        if self._hash_disagrees:
             return Readiness.DISAGREES
-        if now - self._confirmed <= self.limits.cut_off:
+        if now - self._confirmed_as_of <= self.limits.max_staleness:
             return Readiness.READY
         if self._target > self.version:
             return Readiness.BEHIND
-        if self._hearing.hears_most(now):
+        if self._quorum.has_quorum(now):
             return Readiness.READY
         return Readiness.CUT_OFF
 
     def next_wake(self, now: float) -> float:
         """Return when a tick is due next."""
         if self._polling:
-            return now + self.limits.answer / 2
-        return max(self._next_poll, now)
+            return now + self.limits.answer_timeout / 2
+        return max(self._next_poll_at, now)
 
     def _tick(self, now: float) -> list[message.Action]:
         actions: list[message.Action] = []
-        if not self._polling and now >= self._next_poll:
+        if not self._polling and now >= self._next_poll_at:
             self._polling = True
-            spread = self.limits.poll * self.limits.jitter
-            self._next_poll = now + self.limits.poll + self.rng.uniform(-spread, spread)
+            max_jitter = self.limits.poll_interval * self.limits.jitter
+            self._next_poll_at = (
+                now
+                + self.limits.poll_interval
+                + self.rng.uniform(-max_jitter, max_jitter)
+            )
             actions.append(message.Poll())
-        if self._is_silent(now) and now >= self._next_ask:
-            self._next_ask = now + self.limits.poll
+        if self._is_store_silent(now) and now >= self._next_ask_at:
+            self._next_ask_at = now + self.limits.poll_interval
             actions += self._ask_peers(now)
-        due = now - self._fetching_since >= self.limits.retry
-        if self._target > self.version and due:
+        retry_due = now - self._last_fetch_at >= self.limits.fetch_retry_interval
+        if self._target > self.version and retry_due:
             actions += self._fetch(now)
         return actions
 
-    def _is_silent(self, now: float) -> bool:
+    def _is_store_silent(self, now: float) -> bool:
         """Return whether the store is slow or down: two periods without news."""
-        return now - self._store_heard > 2 * self.limits.poll
+        return now - self._store_answered_as_of > 2 * self.limits.poll_interval
 
-    def _take_poll(self, event: message.Polled, now: float) -> list[message.Action]:
+    def _handle_polled(self, event: message.Polled, now: float) -> list[message.Action]:
         if event.signal is None:
             self._polling = False
             return []
-        if event.signal != self._signal:
+        if event.signal != self._signal_version:
             # Still polling: the row itself is read as the second half.
             return [message.ReadCurrent()]
         self._polling = False
-        self._store_heard = max(self._store_heard, event.started)
+        self._store_answered_as_of = max(self._store_answered_as_of, event.started)
         if self._target <= self.version:
-            self._confirmed = max(self._confirmed, event.started)
+            self._confirmed_as_of = max(self._confirmed_as_of, event.started)
         return []
 
-    def _take_current(
+    def _handle_current_read(
         self, event: message.CurrentRead, now: float
     ) -> list[message.Action]:
         self._polling = False
         if event.version is None:
             return []
-        self._signal = event.signal
-        self._store_heard = max(self._store_heard, event.started)
+        self._signal_version = event.signal
+        self._store_answered_as_of = max(self._store_answered_as_of, event.started)
         if event.version < max(self.version, self._target):
             # A read begun before a change, or a store set back: never follow.
             self.counts["older version ignored"] += 1
             return []
         if event.version and event.version == self.version:
-            self._disagrees = event.hash != self.hash
-            self._confirmed = max(self._confirmed, event.started)
+            self._hash_disagrees = event.hash != self.hash
+            self._confirmed_as_of = max(self._confirmed_as_of, event.started)
             return []
-        actions = self._aim(event.version, event.hash, "", now)
-        self._target_seen = event.started
+        actions = self._set_target(event.version, event.hash, "", now)
+        self._target_as_of = event.started
         return actions
 
-    def _aim(
-        self, version: int, content: str, holder: str, now: float
+    def _set_target(
+        self, version: int, content_hash: str, peer: str, now: float
     ) -> list[message.Action]:
         """Make a version the one to fetch; it only ever rises."""
         if version <= max(self.version, self._target):
-            if version == self._target and holder and not self._holder:
-                self._holder = holder
+            if version == self._target and peer and not self._target_peer:
+                self._target_peer = peer
             return []
         self._target = version
-        self._target_seen = float("-inf")
-        self._target_hash = content
-        self._holder = holder
-        self._fetches = 0
+        self._target_as_of = float("-inf")
+        self._target_hash = content_hash
+        self._target_peer = peer
+        self._fetch_count = 0
         return self._fetch(now)
 
     def _fetch(self, now: float) -> list[message.Action]:
@@ -250,24 +256,30 @@
         the daemons that tell it a document for each peer they tell. While it
         is silent peers come first, and the store every fourth time.
         """
-        self._fetching_since = now
-        self._fetches += 1
-        turns = PEER_TURNS_SILENT if self._is_silent(now) else PEER_TURNS
-        peer = self._holder
+        self._last_fetch_at = now
+        self._fetch_count += 1
+        peer_turns = (
+            PEER_TURNS_STORE_SILENT if self._is_store_silent(now) else PEER_TURNS_NORMAL
+        )
+        peer = self._target_peer
         if not peer and self.peers:
             peer = self.rng.choice(self.peers)
-        self._asked_store = not peer or not turns[self._fetches % len(turns)]
-        if self._asked_store:
+        self._fetching_from_store = (
+            not peer or not peer_turns[self._fetch_count % len(peer_turns)]
+        )
+        if self._fetching_from_store:
             return [message.FetchObject(self._target_hash)]
         # The next turn asks another peer, in case this one is gone.
-        self._holder = ""
+        self._target_peer = ""
         return [message.SendPeer(peer, message.Want(self._target_hash))]
 
-    def _take_content(self, event: message.Fetched, now: float) -> list[message.Action]:
+    def _handle_fetched(
+        self, event: message.Fetched, now: float
+    ) -> list[message.Action]:
         if event.hash != self._target_hash or self._target <= self.version:
             return []
         if event.data is None:
-            return self._fetch(now) if self._asked_store else []
+            return self._fetch(now) if self._fetching_from_store else []
         if canonical.hash_bytes(event.data) != event.hash:
             self.counts["content does not match its hash"] += 1
             return []
@@ -281,12 +293,12 @@
         self.hash = event.hash
         self.intended = intended
         self.data = event.data
-        self._disagrees = False
-        self._confirmed = max(self._confirmed, self._target_seen)
+        self._hash_disagrees = False
+        self._confirmed_as_of = max(self._confirmed_as_of, self._target_as_of)
         install = message.Install(self.version, self.hash, intended)
-        return [install, *self._tell_peers()]
+        return [install, *self._notify_peers()]
 
-    def _tell_peers(self) -> list[message.Action]:
+    def _notify_peers(self) -> list[message.Action]:
         """Tell a fixed few peers, once, so that cost does not grow."""
         tell = message.Tell(self.version, self.hash)
         return [message.SendPeer(peer, tell) for peer in self._choose_peers()]
@@ -297,38 +309,38 @@
 
     def _ask_peers(self, now: float) -> list[message.Action]:
         return [
-            message.SendPeer(peer, message.Ask(self._hearing.ask(peer, now)))
+            message.SendPeer(peer, message.Ask(self._quorum.add_question(peer, now)))
             for peer in self._choose_peers()
         ]
 
-    def _take_message(
+    def _handle_received(
         self, peer: str, received: message.Message, now: float
     ) -> list[message.Action]:
         match received:
             case message.Tell():
-                return self._aim(received.version, received.hash, peer, now)
+                return self._set_target(received.version, received.hash, peer, now)
             case message.Ask():
                 ready = self.readiness(now) is Readiness.READY
                 answer = message.Answer(received.number, self.version, self.hash, ready)
                 return [message.SendPeer(peer, answer)]
             case message.Answer():
-                return self._take_answer(peer, received, now)
+                return self._handle_answer(peer, received, now)
             case message.Want():
                 if received.hash != self.hash:
                     return []
                 content = message.Content(self.hash, self.data.decode("utf-8"))
                 return [message.SendPeer(peer, content)]
         data = received.text.encode("utf-8")
-        return self._take_content(message.Fetched(received.hash, data), now)
+        return self._handle_fetched(message.Fetched(received.hash, data), now)
 
-    def _take_answer(
+    def _handle_answer(
         self, peer: str, received: message.Answer, now: float
     ) -> list[message.Action]:
-        if not self._hearing.note_answer(received.number, peer, received.ready):
+        if not self._quorum.record_answer(received.number, peer, received.ready):
             self.counts["late answer ignored"] += 1
             return []
         # One that is itself cut off may be behind: its version is a lower
         # bound for a daemon that has one, and tells a starting one nothing.
         if received.version and (received.ready or self.version):
-            return self._aim(received.version, received.hash, peer, now)
+            return self._set_target(received.version, received.hash, peer, now)
         return []
--- a/wigeonhitch/configuration/message.py
+++ b/wigeonhitch/configuration/message.py
@@ -68,8 +68,8 @@
 
 Message = Tell | Ask | Answer | Want | Content
 
-KINDS = {kind.__name__: kind for kind in (Tell, Ask, Answer, Want, Content)}
-FIELDS = {"version": int, "hash": str, "number": int, "ready": bool, "text": str}
+MESSAGE_KINDS = {kind.__name__: kind for kind in (Tell, Ask, Answer, Want, Content)}
+FIELD_TYPES = {"version": int, "hash": str, "number": int, "ready": bool, "text": str}
 
 
 def encode(message: Message) -> bytes:
@@ -88,17 +88,17 @@
     """
     try:
         body = json.loads(data)
-        kind = KINDS[body.pop("kind")]
+        kind = MESSAGE_KINDS[body.pop("kind")]
         message = kind(**body)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
         return None
-    return message if has_types(message) else None
+    return message if has_valid_types(message) else None
 
 
-def has_types(message: Any) -> bool:
+def has_valid_types(message: Any) -> bool:
     """Return whether every field has its type."""
     values = message._asdict().items()
-    return all(type(value) is FIELDS[name] for name, value in values)
+    return all(type(value) is FIELD_TYPES[name] for name, value in values)
 
 
 class Tick(NamedTuple):
--- a/wigeonhitch/configuration/problem.py
+++ b/wigeonhitch/configuration/problem.py
@@ -6,7 +6,7 @@
 __all__ = ["Problem", "format_place", "format_problem"]
 
 # Longest text of an offending value that is repeated in a message.
-SHOWN_VALUE = 80
+MAX_VALUE_CHARACTERS = 80
 
 UNITS = {
     "cores": "cores",
@@ -75,8 +75,8 @@
 def format_problem(problem: Problem) -> str:
     """Return one line for people."""
     value = repr(problem.value)
-    if len(value) > SHOWN_VALUE:
-        value = value[:SHOWN_VALUE] + "..."
+    if len(value) > MAX_VALUE_CHARACTERS:
+        value = value[:MAX_VALUE_CHARACTERS] + "..."
     unit = f" ({problem.unit})" if problem.unit else ""
     place = problem.place or "document"
     return f"{place}: {value}: expected {problem.expected}{unit}"
--- a/wigeonhitch/configuration/proposal.py
+++ b/wigeonhitch/configuration/proposal.py
@@ -21,9 +21,9 @@
     "Proposal",
     "State",
     "is_submission_id",
-    "name_object",
-    "name_proposal",
-    "name_version",
+    "get_object_name",
+    "get_proposal_key",
+    "get_version_key",
     "read_current",
     "read_proposal",
     "write_proposal",
@@ -110,7 +110,7 @@
     @property
     def condition(self) -> table.Condition:
         """Return the condition that nobody changed the proposal."""
-        return table.Condition(name_proposal(self.id), self.row)
+        return table.Condition(get_proposal_key(self.id), self.row)
 
     @property
     def missing(self) -> tuple[approval.Need, ...]:
@@ -125,17 +125,17 @@
     return ID_PATTERN.fullmatch(text) is not None
 
 
-def name_object(content: str) -> str:
+def get_object_name(content_hash: str) -> str:
     """Return the object name of a document by its content hash."""
-    return f"configuration/{content}"
+    return f"configuration/{content_hash}"
 
 
-def name_proposal(submission: str) -> str:
+def get_proposal_key(submission: str) -> str:
     """Return the row key of a proposal."""
     return f"{PROPOSALS}{submission}"
 
 
-def name_version(version: int) -> str:
+def get_version_key(version: int) -> str:
     """Return the row key of an accepted version."""
     return f"configuration/version/{version}"
 
@@ -185,4 +185,4 @@
     """Return the write that stores a proposal."""
     value = canonical.to_plain(proposal._replace(state=proposal.state.value))
     del value["row"]
-    return table.Write(name_proposal(proposal.id), value)
+    return table.Write(get_proposal_key(proposal.id), value)
--- a/wigeonhitch/configuration/hearing.py
+++ b/wigeonhitch/configuration/quorum.py
@@ -15,7 +15,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["Hearing"]
+__all__ = ["PeerQuorum"]
 
 
 class Question(NamedTuple):
@@ -26,7 +26,7 @@
     answered: bool
 
 
-class Hearing:
+class PeerQuorum:
     """Questions of the last seconds and their answers.
 
     Parameters
@@ -37,23 +37,27 @@
         Seconds after which an unanswered question counts against the peer.
     """
 
-    def __init__(self, span: float, patience: float) -> None:
-        self.span = span
-        self.patience = patience
+    def __init__(self, max_age: float, timeout: float) -> None:
+        self.max_age = max_age
+        self.timeout = timeout
         self._number = 0
         self._questions: dict[int, Question] = {}
 
-    def ask(self, peer: str, now: float) -> int:
+    def add_question(self, peer: str, now: float) -> int:
         """Note a question to a peer; return its number."""
-        horizon = now - self.span
-        old = [n for n, one in self._questions.items() if one.asked < horizon]
-        for number in old:
+        oldest = now - self.max_age
+        expired = [
+            number
+            for number, question in self._questions.items()
+            if question.asked < oldest
+        ]
+        for number in expired:
             del self._questions[number]
         self._number += 1
         self._questions[self._number] = Question(peer, now, False)
         return self._number
 
-    def note_answer(self, number: int, peer: str, ready: bool) -> bool:
+    def record_answer(self, number: int, peer: str, ready: bool) -> bool:
         """Note an answer; return False when nothing was asked or it lapsed."""
         question = self._questions.get(number)
         if question is None or question.peer != peer:
@@ -61,7 +65,7 @@
         self._questions[number] = question._replace(answered=ready)
         return True
 
-    def hears_most(self, now: float) -> bool:
+    def has_quorum(self, now: float) -> bool:
         """Return whether a majority of those asked is ready, this one included.
 
         A daemon that is alone never hears most: without a store it cannot know
@@ -71,10 +75,10 @@
         answered = set()
         for question in self._questions.values():
             age = now - question.asked
-            if age > self.span:
+            if age > self.max_age:
                 continue
             if question.answered:
                 answered.add(question.peer)
-            if question.answered or age >= self.patience:
+            if question.answered or age >= self.timeout:
                 asked.add(question.peer)
         return bool(answered) and 2 * (len(answered) + 1) > len(asked) + 1
--- a/wigeonhitch/configuration/references.py
+++ b/wigeonhitch/configuration/references.py
@@ -6,7 +6,7 @@
 
 from wigeonhitch.configuration import document, problem
 
-__all__ = ["check_references", "required_up"]
+__all__ = ["check_references", "compute_required_up"]
 
 NAMED_SECTIONS = (
     "data_centres",
@@ -19,13 +19,13 @@
 )
 
 
-def required_up(pool: document.Pool) -> int:
+def compute_required_up(pool: document.Pool) -> int:
     """Return how many VMs of a pool must be up; a share is rounded up.
 
     Examples
     --------
     >>> budget = document.Budget(share=0.8)
-    >>> required_up(document.Pool("match", "large", 6, budget))
+    >>> compute_required_up(document.Pool("match", "large", 6, budget))
     5
     """
     budget = pool.must_be_up
@@ -49,14 +49,16 @@
 def check_names(intended: document.Document) -> Iterable[problem.Problem]:
     """Find names given twice in a section, and sections that may not be empty."""
     for section in NAMED_SECTIONS:
-        seen = set()
+        seen_names = set()
         for index, item in enumerate(getattr(intended, section)):
-            if item.name in seen:
-                yield fault((section, index, "name"), item.name, "a name not used yet")
-            seen.add(item.name)
+            if item.name in seen_names:
+                yield build_problem(
+                    (section, index, "name"), item.name, "a name not used yet"
+                )
+            seen_names.add(item.name)
     for section in ("data_centres", "kinds", "pools", "urgencies"):
         if not getattr(intended, section):
-            yield fault((section,), [], "at least one entry")
+            yield build_problem((section,), [], "at least one entry")
 
 
 def check_pools(intended: document.Document) -> Iterable[problem.Problem]:
@@ -66,7 +68,7 @@
     for index, pool in enumerate(intended.pools):
         place = ("pools", index)
         if pool.kind not in kinds:
-            yield fault((*place, "kind"), pool.kind, one_of(kinds))
+            yield build_problem((*place, "kind"), pool.kind, list_choices(kinds))
         yield from check_budget(pool, (*place, "must_be_up"), pool.name in in_waves)
 
 
@@ -81,18 +83,20 @@
     budget = pool.must_be_up
     if (budget.number is None) == (budget.share is None):
         given = {"number": budget.number, "share": budget.share}
-        yield fault(place, given, "exactly one of number and share")
+        yield build_problem(place, given, "exactly one of number and share")
         return
-    required = required_up(pool)
+    required = compute_required_up(pool)
     part = "number" if budget.number is not None else "share"
     value = getattr(budget, part)
     if required > pool.size:
-        yield fault((*place, part), value, f"at most the pool's size {pool.size}")
+        yield build_problem(
+            (*place, part), value, f"at most the pool's size {pool.size}"
+        )
     elif in_wave and pool.size and required == pool.size:
         expected = (
             f"less than all {pool.size} VMs, since a wave visits pool {pool.name}"
         )
-        yield fault((*place, part), value, expected)
+        yield build_problem((*place, part), value, expected)
 
 
 def check_services(intended: document.Document) -> Iterable[problem.Problem]:
@@ -102,9 +106,11 @@
     for index, service in enumerate(intended.services):
         place = ("services", index)
         if service.pool not in pools:
-            yield fault((*place, "pool"), service.pool, one_of(pools))
+            yield build_problem((*place, "pool"), service.pool, list_choices(pools))
         if service.urgency not in urgencies:
-            yield fault((*place, "urgency"), service.urgency, one_of(urgencies))
+            yield build_problem(
+                (*place, "urgency"), service.urgency, list_choices(urgencies)
+            )
 
 
 def check_waves(intended: document.Document) -> Iterable[problem.Problem]:
@@ -113,16 +119,18 @@
     for index, wave in enumerate(intended.waves):
         place = ("waves", index)
         if not wave.pools:
-            yield fault((*place, "pools"), [], "at least one pool")
+            yield build_problem((*place, "pools"), [], "at least one pool")
         for position, name in enumerate(wave.pools):
-            here = (*place, "pools", position)
+            pool_place = (*place, "pools", position)
             if name not in pools:
-                yield fault(here, name, one_of(pools))
+                yield build_problem(pool_place, name, list_choices(pools))
             elif name in wave.pools[:position]:
-                yield fault(here, name, "a pool not named yet by this wave")
+                yield build_problem(
+                    pool_place, name, "a pool not named yet by this wave"
+                )
         if wave.window.start >= wave.window.end:
             expected = f"a time after the start {wave.window.start}"
-            yield fault((*place, "window", "end"), wave.window.end, expected)
+            yield build_problem((*place, "window", "end"), wave.window.end, expected)
 
 
 def check_approvals(intended: document.Document) -> Iterable[problem.Problem]:
@@ -130,10 +138,12 @@
     for index, rule in enumerate(intended.approvals):
         place = ("approvals", index, "roles")
         if rule.approvals > 0 and not rule.roles:
-            yield fault(place, [], "at least one role, since approvals are needed")
+            yield build_problem(
+                place, [], "at least one role, since approvals are needed"
+            )
         if "viewer" in rule.roles:
             expected = "roles that may change something; a viewer may not approve"
-            yield fault(place, list(rule.roles), expected)
+            yield build_problem(place, list(rule.roles), expected)
 
 
 def check_urgencies(intended: document.Document) -> Iterable[problem.Problem]:
@@ -142,16 +152,16 @@
         if urgency.start_within > urgency.deadline:
             expected = f"at most the deadline {urgency.deadline}"
             place = ("urgencies", index, "start_within")
-            yield fault(place, urgency.start_within, expected)
+            yield build_problem(place, urgency.start_within, expected)
 
 
-def fault(parts: tuple, value: Any, expected: str) -> problem.Problem:
+def build_problem(parts: tuple, value: Any, expected: str) -> problem.Problem:
     """Return the problem at a place."""
     place = problem.format_place(parts)
     return problem.Problem(place, value, expected, problem.find_unit(parts))
 
 
-def one_of(names: Sequence[str]) -> str:
+def list_choices(names: Sequence[str]) -> str:
     """Return the wording for a choice among known names."""
     if not names:
         return "a known name, but none is defined"
--- a/wigeonhitch/configuration/routes.py
+++ b/wigeonhitch/configuration/routes.py
@@ -20,9 +20,9 @@
 __all__ = ["DocumentRoutes", "make_routes"]
 
 # Versions shown by default: about one day of changes at a sixth of the target.
-SHOWN_VERSIONS = 100
+DEFAULT_HISTORY_LIMIT = 100
 # Most versions of one answer; each is one row read from the table.
-MOST_VERSIONS = 1000
+MAX_HISTORY_LIMIT = 1000
 
 STATUS_CODES = {
     acceptance.Status.ACCEPTED: 200,
@@ -66,12 +66,14 @@
         """Answer with the version in force, or with ``?version=``."""
         version = None
         if "version" in request.query:
-            version = read_number(request.query["version"])
+            version = parse_number(request.query["version"])
             if version is None:
-                return refuse("version", request.query["version"], "a whole number")
+                return reject_value(
+                    "version", request.query["version"], "a whole number"
+                )
         found = await self.documents.read_document(version)
         if found.outcome is not table.Outcome.DONE:
-            return fail_store()
+            return answer_store_down()
         if found.intended is None:
             return answer(acceptance.Result(acceptance.Status.MISSING))
         body = {
@@ -86,41 +88,45 @@
         body = request.body if isinstance(request.body, dict) else {}
         unknown = set(body) - {"submission", "base", "document", "restore", "note"}
         if unknown:
-            return refuse(sorted(unknown)[0], body[sorted(unknown)[0]], "no such key")
+            return reject_value(
+                sorted(unknown)[0], body[sorted(unknown)[0]], "no such key"
+            )
         submission = body.get("submission")
         if not isinstance(submission, str) or not proposal.is_submission_id(submission):
-            return refuse(
+            return reject_value(
                 "submission", submission, "1 to 64 letters, digits and hyphens"
             )
         base = body.get("base")
-        if not is_number(base):
-            return refuse("base", base, "the version in force; 0 before the first")
+        if not is_count(base):
+            return reject_value(
+                "base", base, "the version in force; 0 before the first"
+            )
         note = body.get("note", "")
         if not isinstance(note, str):
-            return refuse("note", note, "text")
-        intended = await self.find_document(body)
+            return reject_value("note", note, "text")
+        intended = await self.resolve_document(body)
         if isinstance(intended, route.Answer):
             return intended
         submitted = store.Submission(submission, base, intended, request.operator, note)
         return answer(await self.documents.submit(submitted))
 
-    async def find_document(
+    async def resolve_document(
         self, body: Mapping[str, Any]
     ) -> document.Document | route.Answer:
         """Return the submitted or restored document, or why there is none."""
         if ("document" in body) == ("restore" in body):
-            return refuse("document", None, "exactly one of document and restore")
+            return reject_value("document", None, "exactly one of document and restore")
         if "document" in body:
             checked = check.check_plain(body["document"])
             if checked.intended is None:
-                return refuse_document(checked.problems)
+                return reject_document(checked.problems)
             return checked.intended
         version = body["restore"]
-        if not is_number(version):
-            return refuse("restore", version, "the number of an earlier version")
+        if not is_count(version):
+            return reject_value("restore", version, "the number of an earlier version")
         found = await self.documents.read_document(version)
         if found.outcome is not table.Outcome.DONE:
-            return fail_store()
+            return answer_store_down()
         if found.intended is None:
             return answer(acceptance.Result(acceptance.Status.MISSING))
         return found.intended
@@ -128,14 +134,16 @@
     async def approve(self, request: route.Request) -> route.Answer:
         """Approve the content that the body's ``hash`` names."""
         body = request.body if isinstance(request.body, dict) else {}
-        content = body.get("hash")
-        if not isinstance(content, str):
-            return refuse("hash", content, "the content hash that is approved")
+        content_hash = body.get("hash")
+        if not isinstance(content_hash, str):
+            return reject_value(
+                "hash", content_hash, "the content hash that is approved"
+            )
         submission = request.path["proposal"]
         if not proposal.is_submission_id(submission):
             return answer(acceptance.Result(acceptance.Status.MISSING))
         result = await self.documents.approve(
-            submission, request.operator, request.roles, content
+            submission, request.operator, request.roles, content_hash
         )
         return answer(result)
 
@@ -144,7 +152,7 @@
         body = request.body if isinstance(request.body, dict) else {}
         reason = body.get("reason")
         if not isinstance(reason, str) or not reason:
-            return refuse("reason", reason, "text")
+            return reject_value("reason", reason, "text")
         submission = request.path["proposal"]
         if not proposal.is_submission_id(submission):
             return answer(acceptance.Result(acceptance.Status.MISSING))
@@ -158,9 +166,9 @@
         """Answer with the proposals, newest first; ``?state=`` selects some."""
         found = await self.documents.list_proposals()
         if found.outcome is not table.Outcome.DONE:
-            return fail_store()
-        known = [proposal.read_proposal(row) for row in found.rows]
-        shown = [describe_proposal(one, found.current.version) for one in known if one]
+            return answer_store_down()
+        stored = [proposal.read_proposal(row) for row in found.rows]
+        shown = [describe_proposal(one, found.current.version) for one in stored if one]
         state = request.query.get("state")
         if state is not None:
             shown = [one for one in shown if one["state"] == state]
@@ -174,48 +182,50 @@
             return answer(acceptance.Result(acceptance.Status.MISSING))
         state = await self.documents.read_state(submission)
         if state.outcome is not table.Outcome.DONE:
-            return fail_store()
-        if state.known is None:
+            return answer_store_down()
+        if state.stored is None:
             return answer(acceptance.Result(acceptance.Status.MISSING))
-        intended = await self.documents.load(state.known.hash)
-        base = await self.documents.read_document(state.known.base)
+        intended = await self.documents.load_document(state.stored.hash)
+        base = await self.documents.read_document(state.stored.base)
         if intended is None or base.outcome is not table.Outcome.DONE:
-            return fail_store()
+            return answer_store_down()
         changes = difference.compare(base.intended, intended)
-        body = describe_proposal(state.known, state.current.version)
+        body = describe_proposal(state.stored, state.current.version)
         body["changes"] = [difference.format_change(change) for change in changes]
         body["document"] = canonical.to_plain(intended)
         return route.Answer(200, body)
 
     async def show_history(self, request: route.Request) -> route.Answer:
         """Answer with the newest accepted versions; ``?limit=`` of them."""
-        text = request.query.get("limit", str(SHOWN_VERSIONS))
-        limit = read_number(text)
-        if limit is None or not 1 <= limit <= MOST_VERSIONS:
-            return refuse("limit", text, f"a whole number from 1 to {MOST_VERSIONS}")
+        text = request.query.get("limit", str(DEFAULT_HISTORY_LIMIT))
+        limit = parse_number(text)
+        if limit is None or not 1 <= limit <= MAX_HISTORY_LIMIT:
+            return reject_value(
+                "limit", text, f"a whole number from 1 to {MAX_HISTORY_LIMIT}"
+            )
         found = await self.documents.list_history(limit)
         if found.outcome is not table.Outcome.DONE:
-            return fail_store()
+            return answer_store_down()
         rows = [dict(row.value) for row in found.rows if row.value is not None]
         return route.Answer(200, {"versions": rows})
 
 
-def is_number(value: Any) -> bool:
+def is_count(value: Any) -> bool:
     """Return whether a decoded value is a whole number of at least 0."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
-def read_number(text: str) -> int | None:
+def parse_number(text: str) -> int | None:
     """Return a whole number from a query, or None."""
     return int(text) if text.isascii() and text.isdecimal() else None
 
 
-def refuse(place: str, value: Any, expected: str) -> route.Answer:
+def reject_value(place: str, value: Any, expected: str) -> route.Answer:
     """Answer that one value of the request is wrong."""
-    return refuse_document((problem.Problem(place, value, expected),))
+    return reject_document((problem.Problem(place, value, expected),))
 
 
-def refuse_document(problems: tuple[problem.Problem, ...]) -> route.Answer:
+def reject_document(problems: tuple[problem.Problem, ...]) -> route.Answer:
     """Answer with every problem found."""
     body = {
         "status": acceptance.Status.INVALID.name,
@@ -225,7 +235,7 @@
     return route.Answer(400, body)
 
 
-def fail_store() -> route.Answer:
+def answer_store_down() -> route.Answer:
     """Answer that the store could not be read, so nothing was done."""
     return answer(acceptance.Result(acceptance.Status.STORE_DOWN))
 
@@ -245,30 +255,30 @@
         "reason": reason,
         "version": result.version,
     }
-    if result.known is not None:
-        body["proposal"] = describe_proposal(result.known, result.version)
+    if result.stored is not None:
+        body["proposal"] = describe_proposal(result.stored, result.version)
     return body
 
 
-def describe_proposal(known: proposal.Proposal, version: int) -> dict[str, Any]:
+def describe_proposal(stored: proposal.Proposal, version: int) -> dict[str, Any]:
     """Return a proposal as a JSON body, as seen from the version in force."""
-    state = known.state.value
-    if known.state is proposal.State.WAITING and known.base != version:
+    state = stored.state.value
+    if stored.state is proposal.State.WAITING and stored.base != version:
         state = "lapsed"
     return {
-        "submission": known.id,
+        "submission": stored.id,
         "state": state,
-        "base": known.base,
-        "hash": known.hash,
-        "author": known.author,
-        "note": known.note,
-        "version": known.version,
-        "submitted": known.submitted,
-        "decided": known.decided,
-        "decider": known.decider,
-        "reason": known.reason,
-        "given": canonical.to_plain(known.given),
-        "missing": [describe_need(need) for need in known.missing],
+        "base": stored.base,
+        "hash": stored.hash,
+        "author": stored.author,
+        "note": stored.note,
+        "version": stored.version,
+        "submitted": stored.submitted,
+        "decided": stored.decided,
+        "decider": stored.decider,
+        "reason": stored.reason,
+        "given": canonical.to_plain(stored.given),
+        "missing": [describe_need(need) for need in stored.missing],
     }
 
 
--- a/wigeonhitch/configuration/schema.py
+++ b/wigeonhitch/configuration/schema.py
@@ -15,7 +15,7 @@
 
 from wigeonhitch.configuration import document
 
-__all__ = ["build_schema", "describe", "find_lists"]
+__all__ = ["build_schema", "describe", "find_misplaced_lists"]
 
 
 def describe(annotation: Any) -> dict[str, Any]:
@@ -57,7 +57,9 @@
     return schema
 
 
-def find_lists(schema: dict[str, Any], data: Any, parts: tuple) -> list[tuple]:
+def find_misplaced_lists(
+    schema: dict[str, Any], data: Any, parts: tuple
+) -> list[tuple]:
     """Return the places where a list stands for an object.
 
     The validation library takes a list as the fields in order, which would
@@ -72,11 +74,11 @@
         places = []
         for key, value in data.items():
             if key in known:
-                places += find_lists(known[key], value, (*parts, key))
+                places += find_misplaced_lists(known[key], value, (*parts, key))
         return places
     if schema.get("type") == "array" and isinstance(data, list):
         places = []
         for index, value in enumerate(data):
-            places += find_lists(schema["items"], value, (*parts, index))
+            places += find_misplaced_lists(schema["items"], value, (*parts, index))
         return places
     return []
--- a/wigeonhitch/configuration/store.py
+++ b/wigeonhitch/configuration/store.py
@@ -29,13 +29,13 @@
 # Tries of one request. A race among a handful of operators is settled within
 # two or three; more tries would only hold an operator longer than the ten
 # seconds after which a console gives up.
-TRIES = 5
+MAX_ATTEMPTS = 5
 # Pause between tries, seconds; grows with the try.
 RETRY_PAUSE_SECONDS = 0.2
 
 # Documents kept by hash: the one in force and those being discussed. At the
 # target a document takes about 1 MB as records, so eight stay small.
-KEPT_DOCUMENTS = 8
+MAX_CACHED_DOCUMENTS = 8
 
 
 class Submission(NamedTuple):
@@ -89,11 +89,11 @@
 
     outcome: table.Outcome
     current: proposal.Current = proposal.Current()
-    known: proposal.Proposal | None = None
+    stored: proposal.Proposal | None = None
     time: float = 0.0
 
 
-def ignore(version: int, content: str, data: bytes) -> None:
+def ignore_accepted(version: int, content_hash: str, data: bytes) -> None:
     """Take no note of an accepted version."""
 
 
@@ -119,13 +119,13 @@
         rows: table.Table,
         objects: table.ObjectStore,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
-        on_accepted: Callable[[int, str, bytes], None] = ignore,
+        on_accepted: Callable[[int, str, bytes], None] = ignore_accepted,
     ) -> None:
         self.rows = rows
         self.objects = objects
         self.sleep = sleep
         self.on_accepted = on_accepted
-        self.documents: collections.OrderedDict[str, document.Document] = (
+        self.cached_documents: collections.OrderedDict[str, document.Document] = (
             collections.OrderedDict()
         )
 
@@ -139,51 +139,57 @@
             ask again with the same id. ``STORE_DOWN`` means that it is not.
         """
         data = canonical.encode(submission.intended)
-        content = canonical.hash_bytes(data)
-        if not await self.put(content, data):
+        content_hash = canonical.hash_bytes(data)
+        if not await self.put_document(content_hash, data):
             return acceptance.Result(acceptance.Status.STORE_DOWN)
-        self.keep(content, submission.intended)
+        self.cache_document(content_hash, submission.intended)
         submitted = proposal.Proposal(
-            submission.id, submission.base, content, submission.author, submission.note
+            submission.id,
+            submission.base,
+            content_hash,
+            submission.author,
+            submission.note,
         )
-        in_force: dict[int, tuple[approval.Need, ...]] = {}
+        needs_by_version: dict[int, tuple[approval.Need, ...]] = {}
 
         async def prepare(state: State) -> bool:
             current = state.current
-            if state.known is not None or current.version != submission.base:
+            if state.stored is not None or current.version != submission.base:
                 return True
-            before = await self.load(current.hash) if current.version else None
+            before = await self.load_document(current.hash) if current.version else None
             if current.version and before is None:
                 return False
             needs = approval.find_needs(before, submission.intended)
-            in_force[current.version] = needs
+            needs_by_version[current.version] = needs
             return True
 
         def decide(state: State) -> acceptance.Result | acceptance.Commit:
-            needs = in_force.get(state.current.version, ())
-            stamped = submitted._replace(needs=needs, submitted=state.time)
-            return acceptance.decide_submission(state.current, state.known, stamped)
+            needs = needs_by_version.get(state.current.version, ())
+            timed_submission = submitted._replace(needs=needs, submitted=state.time)
+            return acceptance.decide_submission(
+                state.current, state.stored, timed_submission
+            )
 
-        return await self.carry_out(submission.id, decide, prepare)
+        return await self.commit_decision(submission.id, decide, prepare)
 
     async def approve(
-        self, submission: str, operator: str, roles: frozenset[str], content: str
+        self, submission: str, operator: str, roles: frozenset[str], content_hash: str
     ) -> acceptance.Result:
         """Approve the content of a proposal on the version it is based on."""
 
         def decide(state: State) -> acceptance.Result | acceptance.Commit:
-            base = state.known.base if state.known else 0
+            base = state.stored.base if state.stored else 0
             ordered = tuple(sorted(roles))
-            given = approval.Given(operator, ordered, content, base, state.time)
-            return acceptance.decide_approval(state.current, state.known, given)
+            given = approval.Given(operator, ordered, content_hash, base, state.time)
+            return acceptance.decide_approval(state.current, state.stored, given)
 
         async def prepare(state: State) -> bool:
             # Held before the commit, so that it can be passed on after it.
-            if state.known is None or state.known.hash != content:
+            if state.stored is None or state.stored.hash != content_hash:
                 return True
-            return await self.load(content) is not None
+            return await self.load_document(content_hash) is not None
 
-        return await self.carry_out(submission, decide, prepare)
+        return await self.commit_decision(submission, decide, prepare)
 
     async def reject(
         self, submission: str, operator: str, reason: str
@@ -192,12 +198,12 @@
 
         def decide(state: State) -> acceptance.Result | acceptance.Commit:
             return acceptance.decide_rejection(
-                state.current, state.known, operator, reason, state.time
+                state.current, state.stored, operator, reason, state.time
             )
 
-        return await self.carry_out(submission, decide)
+        return await self.commit_decision(submission, decide)
 
-    async def carry_out(
+    async def commit_decision(
         self,
         submission: str,
         decide: Callable[[State], acceptance.Result | acceptance.Commit],
@@ -209,8 +215,8 @@
         before anything else is tried. Until a read settles it the result can
         only be ``UNKNOWN``: the lost commit may yet take effect.
         """
-        lost = False
-        for attempt in range(TRIES):
+        outcome_unknown = False
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 await self.sleep(RETRY_PAUSE_SECONDS * attempt)
             state = await self.read_state(submission)
@@ -218,100 +224,106 @@
                 continue
             if prepare is not None and not await prepare(state):
                 continue
-            step = decide(state)
-            if isinstance(step, acceptance.Result):
-                return step
-            done = await self.rows.commit(step.conditions, step.writes, purpose=PURPOSE)
-            if done.outcome is table.Outcome.DONE:
-                await self.pass_on(step.result)
-                return step.result
-            lost = lost or done.outcome is table.Outcome.UNKNOWN
-        if lost:
+            decision = decide(state)
+            if isinstance(decision, acceptance.Result):
+                return decision
+            committed = await self.rows.commit(
+                decision.conditions, decision.writes, purpose=PURPOSE
+            )
+            if committed.outcome is table.Outcome.DONE:
+                await self.notify_accepted(decision.result)
+                return decision.result
+            outcome_unknown = (
+                outcome_unknown or committed.outcome is table.Outcome.UNKNOWN
+            )
+        if outcome_unknown:
             return acceptance.Result(acceptance.Status.UNKNOWN)
         return acceptance.Result(acceptance.Status.STORE_DOWN)
 
-    async def pass_on(self, result: acceptance.Result) -> None:
+    async def notify_accepted(self, result: acceptance.Result) -> None:
         """Tell this daemon of a version that it put in force."""
-        if result.status is not acceptance.Status.ACCEPTED or result.known is None:
+        if result.status is not acceptance.Status.ACCEPTED or result.stored is None:
             return
-        intended = await self.load(result.known.hash)
+        intended = await self.load_document(result.stored.hash)
         if intended is not None:
             data = canonical.encode(intended)
-            self.on_accepted(result.version, result.known.hash, data)
+            self.on_accepted(result.version, result.stored.hash, data)
 
     async def read_state(self, submission: str) -> State:
         """Read the version in force and one proposal."""
-        keys = (proposal.CURRENT, proposal.name_proposal(submission))
-        found = await self.rows.read(keys, purpose=PURPOSE)
-        if found.outcome is not table.Outcome.DONE:
-            return State(found.outcome)
-        current = proposal.read_current(found.rows[0])
-        known = proposal.read_proposal(found.rows[1])
-        return State(found.outcome, current, known, found.time)
-
-    async def put(self, content: str, data: bytes) -> bool:
+        keys = (proposal.CURRENT, proposal.get_proposal_key(submission))
+        answer = await self.rows.read(keys, purpose=PURPOSE)
+        if answer.outcome is not table.Outcome.DONE:
+            return State(answer.outcome)
+        current = proposal.read_current(answer.rows[0])
+        stored = proposal.read_proposal(answer.rows[1])
+        return State(answer.outcome, current, stored, answer.time)
+
+    async def put_document(self, content_hash: str, data: bytes) -> bool:
         """Store a document; storing the same content again is harmless."""
-        name = proposal.name_object(content)
-        for attempt in range(TRIES):
+        name = proposal.get_object_name(content_hash)
+        for attempt in range(MAX_ATTEMPTS):
             outcome = await self.objects.put(name, data, purpose=PURPOSE)
             if outcome is table.Outcome.DONE:
                 return True
             await self.sleep(RETRY_PAUSE_SECONDS * (attempt + 1))
         return False
 
-    async def load(self, content: str) -> document.Document | None:
+    async def load_document(self, content_hash: str) -> document.Document | None:
         """Return the document of a content hash, or None if unreadable."""
-        if content in self.documents:
-            self.documents.move_to_end(content)
-            return self.documents[content]
-        name = proposal.name_object(content)
+        if content_hash in self.cached_documents:
+            self.cached_documents.move_to_end(content_hash)
+            return self.cached_documents[content_hash]
+        name = proposal.get_object_name(content_hash)
         data = await self.objects.get(name, purpose=PURPOSE)
-        if data is None or canonical.hash_bytes(data) != content:
+        if data is None or canonical.hash_bytes(data) != content_hash:
             return None
         intended = check.load_canonical(data)
         if intended is not None:
-            self.keep(content, intended)
+            self.cache_document(content_hash, intended)
         return intended
 
-    def keep(self, content: str, intended: document.Document) -> None:
+    def cache_document(self, content_hash: str, intended: document.Document) -> None:
         """Keep a document for a while."""
-        self.documents[content] = intended
-        while len(self.documents) > KEPT_DOCUMENTS:
-            self.documents.popitem(last=False)
+        self.cached_documents[content_hash] = intended
+        while len(self.cached_documents) > MAX_CACHED_DOCUMENTS:
+            self.cached_documents.popitem(last=False)
 
     async def read_document(self, version: int | None = None) -> Accepted:
         """Return an accepted version, the one in force by default."""
-        key = proposal.CURRENT if version is None else proposal.name_version(version)
-        found = await self.rows.read((key,), purpose=PURPOSE)
-        if found.outcome is not table.Outcome.DONE:
-            return Accepted(found.outcome)
-        value = found.rows[0].value
+        key = proposal.CURRENT if version is None else proposal.get_version_key(version)
+        answer = await self.rows.read((key,), purpose=PURPOSE)
+        if answer.outcome is not table.Outcome.DONE:
+            return Accepted(answer.outcome)
+        value = answer.rows[0].value
         if value is None:
             return Accepted(table.Outcome.DONE)
-        intended = await self.load(value["hash"])
+        intended = await self.load_document(value["hash"])
         if intended is None:
             return Accepted(table.Outcome.NOT_DONE, value["version"], value["hash"])
-        return Accepted(found.outcome, value["version"], value["hash"], intended)
+        return Accepted(answer.outcome, value["version"], value["hash"], intended)
 
     async def list_proposals(self) -> Listing:
         """Return every proposal and the version in force."""
-        found = await self.rows.scan(proposal.PROPOSALS, purpose=PURPOSE)
-        head = await self.rows.read((proposal.CURRENT,), purpose=PURPOSE)
-        for read in (found, head):
-            if read.outcome is not table.Outcome.DONE:
-                return Listing(read.outcome, reason=read.reason)
-        return Listing(found.outcome, found.rows, proposal.read_current(head.rows[0]))
+        answer = await self.rows.scan(proposal.PROPOSALS, purpose=PURPOSE)
+        current_answer = await self.rows.read((proposal.CURRENT,), purpose=PURPOSE)
+        for reply in (answer, current_answer):
+            if reply.outcome is not table.Outcome.DONE:
+                return Listing(reply.outcome, reason=reply.reason)
+        return Listing(
+            answer.outcome, answer.rows, proposal.read_current(current_answer.rows[0])
+        )
 
     async def list_history(self, limit: int) -> Listing:
         """Return the newest accepted versions, newest first."""
-        head = await self.rows.read((proposal.CURRENT,), purpose=PURPOSE)
-        if head.outcome is not table.Outcome.DONE:
-            return Listing(head.outcome, reason=head.reason)
-        current = proposal.read_current(head.rows[0])
+        current_answer = await self.rows.read((proposal.CURRENT,), purpose=PURPOSE)
+        if current_answer.outcome is not table.Outcome.DONE:
+            return Listing(current_answer.outcome, reason=current_answer.reason)
+        current = proposal.read_current(current_answer.rows[0])
         oldest = max(current.version - limit, 0)
         numbers = range(current.version, oldest, -1)
-        keys = tuple(proposal.name_version(number) for number in numbers)
+        keys = tuple(proposal.get_version_key(number) for number in numbers)
         if not keys:
-            return Listing(head.outcome, (), current)
-        found = await self.rows.read(keys, purpose=PURPOSE)
-        return Listing(found.outcome, found.rows, current, found.reason)
+            return Listing(current_answer.outcome, (), current)
+        answer = await self.rows.read(keys, purpose=PURPOSE)
+        return Listing(answer.outcome, answer.rows, current, answer.reason)
--- a/wigeonhitch/configuration/tests/test_acceptance.py
+++ b/wigeonhitch/configuration/tests/test_acceptance.py
@@ -35,30 +35,30 @@
 
 
 @types.coroutine
-def pause():
+def suspend():
     """Suspend until the machine takes the next step."""
     yield
 
 
-class Stepping:
+class SteppingClient:
     """Platform client that suspends before each call."""
 
-    def __init__(self, inner):
-        self.inner = inner
+    def __init__(self, client):
+        self.client = client
 
     def __getattr__(self, name):
         async def call(*arguments, **named):
-            await pause()
-            return await getattr(self.inner, name)(*arguments, **named)
+            await suspend()
+            return await getattr(self.client, name)(*arguments, **named)
 
         return call
 
 
-async def skip(seconds):
+async def skip_sleep(seconds):
     """Sleep no time."""
 
 
-class Racing(hypothesis.stateful.RuleBasedStateMachine):
+class RacingConsolesMachine(hypothesis.stateful.RuleBasedStateMachine):
     """Operators submit, approve and reject through consoles that race."""
 
     def __init__(self):
@@ -66,45 +66,47 @@
         self.platform = fake.Fake()
         self.stores = []
         for number in range(4):
-            client = Stepping(self.platform.build_client(f"d{number}"))
-            self.stores.append(store.Store(client, client, skip))
-        self.running = []
+            client = SteppingClient(self.platform.build_client(f"d{number}"))
+            self.stores.append(store.Store(client, client, skip_sleep))
+        self.calls_in_progress = []
         self.submissions = {}
-        self.asked = {}
-        self.refused = set()
-        self.accepted = {}
-        self.versions = {}
-        self.decided = {}
+        self.requests_per_submission = {}
+        self.not_done_submissions = set()
+        self.accepted_versions = {}
+        self.version_rows = {}
+        self.decided_proposals = {}
         self.given = {}
         self.version = 0
         first = store.Submission("s", 0, BASE._replace(approvals=()), "o0")
-        assert self.run_alone(0, first).version == 1
+        assert self.run_to_end(0, first).version == 1
         rules = store.Submission("t", 1, BASE, "o0")
-        assert self.run_alone(0, rules).version == 2
+        assert self.run_to_end(0, rules).version == 2
 
-    def run_alone(self, who, made):
-        call = self.stores[who].submit(made)
+    def run_to_end(self, console, submission):
+        call = self.stores[console].submit(submission)
         while True:
             try:
                 call.send(None)
             except StopIteration as stop:
                 return stop.value
 
-    def begin(self, submission, call, steps):
-        self.asked[submission] = self.asked.get(submission, 0) + 1
-        self.running.append((submission, call))
-        self.proceed(len(self.running) - 1, steps)
+    def start_call(self, submission_id, call, steps):
+        self.requests_per_submission[submission_id] = (
+            self.requests_per_submission.get(submission_id, 0) + 1
+        )
+        self.calls_in_progress.append((submission_id, call))
+        self.advance_call(len(self.calls_in_progress) - 1, steps)
 
-    def proceed(self, index, steps):
-        submission, call = self.running[index]
+    def advance_call(self, index, steps):
+        submission_id, call = self.calls_in_progress[index]
         try:
             for _ in range(steps):
                 call.send(None)
         except StopIteration as stop:
-            self.running.pop(index)
-            self.finish(submission, stop.value)
+            self.calls_in_progress.pop(index)
+            self.record_result(submission_id, stop.value)
 
-    @hypothesis.stateful.precondition(lambda self: len(self.running) < 4)
+    @hypothesis.stateful.precondition(lambda self: len(self.calls_in_progress) < 4)
     @hypothesis.stateful.rule(
         who=strategies.integers(0, 3),
         weight=strategies.sampled_from([1.0, 1.0, 2.0]),
@@ -117,13 +119,13 @@
         pools = (BASE.pools[0]._replace(size=size),)
         weights = document.Weights(moves=weight)
         intended = BASE._replace(pools=pools, weights=weights)
-        submission = f"s{len(self.submissions)}"
-        made = store.Submission(submission, base, intended, f"o{who}")
-        self.submissions[submission] = made
-        self.begin(submission, self.stores[who].submit(made), steps)
+        submission_id = f"s{len(self.submissions)}"
+        submission = store.Submission(submission_id, base, intended, f"o{who}")
+        self.submissions[submission_id] = submission
+        self.start_call(submission_id, self.stores[who].submit(submission), steps)
 
     @hypothesis.stateful.precondition(
-        lambda self: self.submissions and len(self.running) < 4
+        lambda self: self.submissions and len(self.calls_in_progress) < 4
     )
     @hypothesis.stateful.rule(
         data=strategies.data(),
@@ -133,29 +135,35 @@
             ["again", "approve", "approve", "approve", "reject"]
         ),
     )
-    def act(self, data, who, action, steps):
+    def act_on_submission(self, data, who, action, steps):
         recent = list(self.submissions)[-3:]
-        submission = data.draw(strategies.sampled_from(recent))
-        made = self.submissions[submission]
+        submission_id = data.draw(strategies.sampled_from(recent))
+        submission = self.submissions[submission_id]
         if action == "again":
-            call = self.stores[who].submit(made)
+            call = self.stores[who].submit(submission)
         elif action == "approve":
-            content = store.canonical.hash_bytes(store.canonical.encode(made.intended))
-            call = self.stores[who].approve(submission, f"o{who}", OWNER, content)
+            content_hash = store.canonical.hash_bytes(
+                store.canonical.encode(submission.intended)
+            )
+            call = self.stores[who].approve(
+                submission_id, f"o{who}", OWNER, content_hash
+            )
         else:
-            call = self.stores[who].reject(submission, f"o{who}", "no")
-        self.begin(submission, call, steps)
+            call = self.stores[who].reject(submission_id, f"o{who}", "no")
+        self.start_call(submission_id, call, steps)
 
-    @hypothesis.stateful.precondition(lambda self: self.running)
+    @hypothesis.stateful.precondition(lambda self: self.calls_in_progress)
     @hypothesis.stateful.rule(data=strategies.data(), steps=STEPS)
     def step(self, data, steps):
-        self.proceed(data.draw(strategies.integers(0, len(self.running) - 1)), steps)
+        self.advance_call(
+            data.draw(strategies.integers(0, len(self.calls_in_progress) - 1)), steps
+        )
 
-    def finish(self, submission, result):
+    def record_result(self, submission_id, result):
         if result.status is Status.ACCEPTED:
-            self.accepted[submission] = result.version
+            self.accepted_versions[submission_id] = result.version
         if result.status in (Status.STORE_DOWN, Status.CONFLICT):
-            self.refused.add(submission)
+            self.not_done_submissions.add(submission_id)
 
     @hypothesis.stateful.rule(
         switches=strategies.sampled_from(
@@ -171,7 +179,7 @@
             ]
         )
     )
-    def strike(self, switches):
+    def stress_store(self, switches):
         self.platform.switch(**switches)
 
     @hypothesis.stateful.rule(seconds=strategies.sampled_from([1.0, 10.0]))
@@ -183,36 +191,36 @@
         return read_rows(rows, prefix)
 
     @hypothesis.stateful.invariant()
-    def one_winner_per_version(self):
-        found = self.rows("configuration/version/")
-        numbers = sorted(value["version"] for value in found.values())
+    def check_one_submission_per_version(self):
+        rows_by_key = self.rows("configuration/version/")
+        numbers = sorted(value["version"] for value in rows_by_key.values())
         assert numbers == list(range(1, len(numbers) + 1))
-        winners = [value["submission"] for value in found.values()]
+        winners = [value["submission"] for value in rows_by_key.values()]
         assert len(set(winners)) == len(winners), "a submission became two versions"
-        for key, value in self.versions.items():
-            assert found[key] == value, "an accepted version changed"
-        self.versions = found
+        for key, value in self.version_rows.items():
+            assert rows_by_key[key] == value, "an accepted version changed"
+        self.version_rows = rows_by_key
         current = self.rows(proposal.CURRENT).get(proposal.CURRENT, {"version": 0})
         assert current["version"] == len(numbers) >= self.version, "went back"
         self.version = current["version"]
 
     @hypothesis.stateful.invariant()
-    def results_are_true(self):
-        found = self.rows("configuration/version/")
-        by_submission = {v["submission"]: v["version"] for v in found.values()}
-        for submission, version in self.accepted.items():
-            assert by_submission[submission] == version
-        for submission in self.refused:
-            if self.asked[submission] == 1:
-                assert submission not in by_submission, "said not done, but was"
+    def check_results_match_store(self):
+        rows_by_key = self.rows("configuration/version/")
+        by_submission = {v["submission"]: v["version"] for v in rows_by_key.values()}
+        for submission_id, version in self.accepted_versions.items():
+            assert by_submission[submission_id] == version
+        for submission_id in self.not_done_submissions:
+            if self.requests_per_submission[submission_id] == 1:
+                assert submission_id not in by_submission, "said not done, but was"
 
     @hypothesis.stateful.invariant()
-    def approvals_are_kept_and_needed(self):
+    def check_approvals_are_kept_and_sufficient(self):
         for key, value in self.rows(proposal.PROPOSALS).items():
-            assert self.decided.get(key, value) == value, "a decision changed"
+            assert self.decided_proposals.get(key, value) == value, "a decision changed"
             if value["state"] != "waiting":
-                self.decided[key] = value
-            given = {one["operator"] for one in value["given"]}
+                self.decided_proposals[key] = value
+            given = {entry["operator"] for entry in value["given"]}
             assert given >= self.given.get(key, set()), "an approval vanished"
             self.given[key] = given
             if value["state"] == "accepted":
@@ -220,7 +228,7 @@
                     assert len(given - {value["author"]}) >= need["approvals"]
 
     def teardown(self):
-        for _, call in self.running:
+        for _, call in self.calls_in_progress:
             call.close()
 
 
@@ -235,7 +243,7 @@
 
 def test_racing_operators():
     hypothesis.stateful.run_state_machine_as_test(
-        Racing,
+        RacingConsolesMachine,
         settings=hypothesis.settings(
             max_examples=200,
             stateful_step_count=60,
@@ -252,8 +260,8 @@
     platform = fake.Fake()
     pair = []
     for name in ("d0", "d1"):
-        client = Stepping(platform.build_client(name))
-        pair.append(store.Store(client, client, skip))
+        client = SteppingClient(platform.build_client(name))
+        pair.append(store.Store(client, client, skip_sleep))
     submit(pair[0], "first", 0, BASE._replace(approvals=()))
     submit(pair[0], "rules", 1, BASE)
     submit(pair[0], "s", 2)
@@ -264,11 +272,13 @@
 CONTENT = store.canonical.hash_bytes(store.canonical.encode(CHANGED))
 
 
-def submit(console, submission, base, intended=CHANGED):
-    return run(console.submit(store.Submission(submission, base, intended, "o0")))
+def submit(console, submission_id, base, intended=CHANGED):
+    return run_call(
+        console.submit(store.Submission(submission_id, base, intended, "o0"))
+    )
 
 
-def run(call, steps=None):
+def run_call(call, steps=None):
     """Run a call to its end, or so many steps of it."""
     try:
         while steps != 0:
@@ -284,50 +294,50 @@
 
 
 def test_approvals_that_race_are_both_kept(consoles):
-    late = run(approve(consoles[0], "o1"), 2)
-    assert run(approve(consoles[1], "o2")).status is Status.WAITING
-    assert run(late).status is Status.ACCEPTED
+    suspended_call = run_call(approve(consoles[0], "o1"), 2)
+    assert run_call(approve(consoles[1], "o2")).status is Status.WAITING
+    assert run_call(suspended_call).status is Status.ACCEPTED
 
 
 def test_rejection_wins_over_an_approval_that_was_under_way(consoles):
-    run(approve(consoles[1], "o1"))
-    late = run(approve(consoles[0], "o2"), 2)
-    assert run(consoles[1].reject("s", "o3", "no")).status is Status.REJECTED
-    assert run(late).status is Status.REJECTED
-    assert run(consoles[0].read_document()).version == 2
+    run_call(approve(consoles[1], "o1"))
+    suspended_call = run_call(approve(consoles[0], "o2"), 2)
+    assert run_call(consoles[1].reject("s", "o3", "no")).status is Status.REJECTED
+    assert run_call(suspended_call).status is Status.REJECTED
+    assert run_call(consoles[0].read_document()).version == 2
 
 
 def test_acceptance_wins_over_a_rejection_that_was_under_way(consoles):
-    run(approve(consoles[1], "o1"))
-    late = run(consoles[0].reject("s", "o3", "no"), 2)
-    assert run(approve(consoles[1], "o2")).version == 3
-    assert run(late).status is Status.ACCEPTED
+    run_call(approve(consoles[1], "o1"))
+    suspended_call = run_call(consoles[0].reject("s", "o3", "no"), 2)
+    assert run_call(approve(consoles[1], "o2")).version == 3
+    assert run_call(suspended_call).status is Status.ACCEPTED
 
 
 def test_repeated_submission_does_not_undo_a_rejection(consoles):
-    made = store.Submission("u", 2, CHANGED, "o0")
-    late = run(consoles[0].submit(made), 3)
+    submission = store.Submission("u", 2, CHANGED, "o0")
+    suspended_call = run_call(consoles[0].submit(submission), 3)
     assert submit(consoles[1], "u", 2).status is Status.WAITING
-    run(consoles[1].reject("u", "o3", "no"))
-    assert run(late).status is Status.REJECTED
+    run_call(consoles[1].reject("u", "o3", "no"))
+    assert run_call(suspended_call).status is Status.REJECTED
 
 
 def test_approvals_count_for_one_content_base_and_operator():
     need = approval.Need("any", 2, ("owner", "auditor"))
-    good = approval.Given("ben", ("owner",), "h", 1)
+    valid_approval = approval.Given("ben", ("owner",), "h", 1)
 
     def count(*given):
         return approval.count_approvals(need, given, "ana", "h", 1)
 
-    assert count(good, good._replace(operator="eva")) == 2
+    assert count(valid_approval, valid_approval._replace(operator="eva")) == 2
     for other in (
-        good,
-        good._replace(operator="ana"),
-        good._replace(operator="eva", hash="other"),
-        good._replace(operator="eva", base=2),
-        good._replace(operator="eva", roles=("clerk",)),
+        valid_approval,
+        valid_approval._replace(operator="ana"),
+        valid_approval._replace(operator="eva", hash="other"),
+        valid_approval._replace(operator="eva", base=2),
+        valid_approval._replace(operator="eva", roles=("clerk",)),
     ):
-        assert count(good, other) == 1
+        assert count(valid_approval, other) == 1
 
 
 def test_looser_rules_are_judged_by_the_present_ones():
--- a/wigeonhitch/configuration/tests/test_check.py
+++ b/wigeonhitch/configuration/tests/test_check.py
@@ -24,17 +24,17 @@
     del plain["fleet"]
     checked = check.check_plain(plain)
     assert checked.intended is None
-    found = {one.place: one for one in checked.problems}
-    assert set(found) == {
+    problems_by_place = {item.place: item for item in checked.problems}
+    assert set(problems_by_place) == {
         "fleet",
         "kinds[0].memory",
         "pools[1].sise",
         "pools[2].must_be_up.share",
         "weights",
     }
-    share = problem.format_problem(found["pools[2].must_be_up.share"])
+    share = problem.format_problem(problems_by_place["pools[2].must_be_up.share"])
     assert "1.5" in share and "less than or equal to 1" in share
-    assert found["kinds[0].memory"].unit == "GB"
+    assert problems_by_place["kinds[0].memory"].unit == "GB"
 
 
 CHANGES = {
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("place", CHANGES)
 def test_references_are_checked(plain, place):
     CHANGES[place](plain)
-    places = [one.place for one in check.check_plain(plain).problems]
+    places = [item.place for item in check.check_plain(plain).problems]
     assert place in places
 
 
@@ -73,8 +73,8 @@
 
 
 def test_schema_shows_records_as_objects():
-    described = schema.build_schema()
-    pool = described["properties"]["pools"]["items"]
+    json_schema = schema.build_schema()
+    pool = json_schema["properties"]["pools"]["items"]
     assert pool["type"] == "object"
     assert pool["additionalProperties"] is False
     assert pool["required"] == ["name", "kind", "size", "must_be_up"]
@@ -82,5 +82,5 @@
 
 def test_equal_meaning_has_equal_hash(plain, altiplano):
     plain["kinds"][0]["cores"] = 32.0
-    again = check.check_plain(dict(reversed(plain.items()))).intended
-    assert canonical.encode(again) == canonical.encode(altiplano)
+    reordered = check.check_plain(dict(reversed(plain.items()))).intended
+    assert canonical.encode(reordered) == canonical.encode(altiplano)
--- a/wigeonhitch/configuration/tests/test_distribution.py
+++ b/wigeonhitch/configuration/tests/test_distribution.py
@@ -12,8 +12,8 @@
     canonical,
     check,
     distribution,
-    hearing,
     message,
+    quorum,
     store,
     watcher,
 )
@@ -23,7 +23,7 @@
 NAMES = ("a", "b", "c")
 
 
-def make_data(number):
+def make_document_data(number):
     """Return the canonical bytes of one of many valid documents."""
     plain = {
         "fleet": f"f{number}",
@@ -36,22 +36,22 @@
     return canonical.encode(check.check_plain(plain).intended)
 
 
-DATA = {n: make_data(n) for n in range(1, 30)}
+DATA = {n: make_document_data(n) for n in range(1, 30)}
 HASHES = {n: canonical.hash_bytes(data) for n, data in DATA.items()}
 OBJECTS = {HASHES[n]: data for n, data in DATA.items()}
 
 
-class Net:
+class SimulatedNet:
     """A store, three daemons, and everything that is under way between them."""
 
     def __init__(self):
         self.now = 100.0
         self.accepted = [0.0]
-        self.up = True
-        self.silent = set()
-        self.cut = set()
+        self.store_up = True
+        self.without_store = set()
+        self.partitioned = set()
         self.cores = {}
-        self.under_way = []
+        self.in_flight = []
         self.stale_since = {}
         for name in NAMES:
             self.start(name)
@@ -65,20 +65,22 @@
         self.accepted.append(self.now)
         version = self.version
         tell = message.Tell(version, HASHES[version])
-        self.take(name, message.Received("", tell))
-        self.take(name, message.Fetched(HASHES[version], DATA[version]))
+        self.deliver(name, message.Received("", tell))
+        self.deliver(name, message.Fetched(HASHES[version], DATA[version]))
 
     def is_stale(self, name):
         """Return whether a daemon could know better, or is cut off from knowing."""
         version = self.cores[name].version
-        if name in self.cut or (self.up and name not in self.silent):
+        if name in self.partitioned or (
+            self.store_up and name not in self.without_store
+        ):
             return version < self.version
         reachable = [
-            core.version for n, core in self.cores.items() if n not in self.cut
+            core.version for n, core in self.cores.items() if n not in self.partitioned
         ]
         return version < max(reachable)
 
-    def note_stale(self):
+    def record_staleness(self):
         for name in NAMES:
             if self.is_stale(name):
                 self.stale_since.setdefault(name, self.now)
@@ -86,127 +88,134 @@
                 self.stale_since.pop(name, None)
 
     def start(self, name):
-        self.under_way = [one for one in self.under_way if one[0] != name]
+        self.in_flight = [item for item in self.in_flight if item[0] != name]
         core = distribution.Distribution(LIMITS, random.Random(name))
         peers = tuple(other for other in NAMES if other != name)
         core.handle(message.PeersChanged(peers), self.now)
         self.cores[name] = core
 
     def tick(self, name):
-        self.take(name, message.Tick())
+        self.deliver(name, message.Tick())
 
-    def take(self, name, event):
+    def deliver(self, name, event):
         for action in self.cores[name].handle(event, self.now):
-            self.under_way.append((name, action, self.now))
-
-    def carry_out(self, index, lost=False):
-        name, action, started = self.under_way.pop(index)
-        hears = self.up and not lost and name not in self.silent | self.cut
+            self.in_flight.append((name, action, self.now))
+
+    def complete_action(self, index, lost=False):
+        name, action, started = self.in_flight.pop(index)
+        store_reachable = (
+            self.store_up
+            and not lost
+            and name not in self.without_store | self.partitioned
+        )
         match action:
             case message.Poll():
-                signal = self.version if hears else None
-                self.take(name, message.Polled(started, signal))
+                signal = self.version if store_reachable else None
+                self.deliver(name, message.Polled(started, signal))
             case message.ReadCurrent():
-                version = self.version if hears else None
-                content = HASHES.get(version, "")
-                read = message.CurrentRead(started, self.version, version, content)
-                self.take(name, read)
+                version = self.version if store_reachable else None
+                content_hash = HASHES.get(version, "")
+                read = message.CurrentRead(started, self.version, version, content_hash)
+                self.deliver(name, read)
             case message.FetchObject():
-                data = OBJECTS.get(action.hash) if hears else None
-                self.take(name, message.Fetched(action.hash, data))
+                data = OBJECTS.get(action.hash) if store_reachable else None
+                self.deliver(name, message.Fetched(action.hash, data))
             case message.SendPeer():
-                if not lost and not {name, action.peer} & self.cut:
-                    self.take(action.peer, message.Received(name, action.message))
+                if not lost and not {name, action.peer} & self.partitioned:
+                    self.deliver(action.peer, message.Received(name, action.message))
 
-    def settle(self, seconds):
+    def run_for(self, seconds):
         """Let time pass with everything carried out at once, in order."""
         end = self.now + seconds
         while self.now < end:
             for name in NAMES:
                 self.tick(name)
-            carried = 0
-            while self.under_way:
-                self.carry_out(0)
-                carried += 1
-                assert carried < 500, "daemons keep one another busy for ever"
+            completed = 0
+            while self.in_flight:
+                self.complete_action(0)
+                completed += 1
+                assert completed < 500, "daemons keep one another busy for ever"
             self.now += 0.5
-            self.note_stale()
+            self.record_staleness()
 
     def readiness(self):
         return [core.readiness(self.now) for core in self.cores.values()]
 
 
-class Distributing(hypothesis.stateful.RuleBasedStateMachine):
+class DistributionMachine(hypothesis.stateful.RuleBasedStateMachine):
     """Messages in any order, lost, late; daemons restarted, paused, cut off."""
 
     def __init__(self):
         super().__init__()
-        self.net = Net()
-        self.seen = dict.fromkeys(NAMES, 0)
+        self.net = SimulatedNet()
+        self.highest_versions = dict.fromkeys(NAMES, 0)
 
     @hypothesis.stateful.rule(name=strategies.sampled_from(NAMES))
     def accept(self, name):
-        reaches = self.net.up and name not in self.net.silent | self.net.cut
-        if reaches and self.net.version < max(DATA):
+        store_reachable = (
+            self.net.store_up
+            and name not in self.net.without_store | self.net.partitioned
+        )
+        if store_reachable and self.net.version < max(DATA):
             self.net.accept(name)
 
     @hypothesis.stateful.rule(name=strategies.sampled_from(NAMES))
     def tick(self, name):
         self.net.tick(name)
 
-    @hypothesis.stateful.precondition(lambda self: self.net.under_way)
+    @hypothesis.stateful.precondition(lambda self: self.net.in_flight)
     @hypothesis.stateful.rule(data=strategies.data(), lost=strategies.booleans())
-    def carry_out(self, data, lost):
-        last = len(self.net.under_way) - 1
-        self.net.carry_out(data.draw(strategies.integers(0, last)), lost)
+    def complete_action(self, data, lost):
+        last = len(self.net.in_flight) - 1
+        self.net.complete_action(data.draw(strategies.integers(0, last)), lost)
 
     @hypothesis.stateful.rule(seconds=strategies.sampled_from([0.3, 1.0, 5.0, 30.0]))
     def pause_all(self, seconds):
         self.net.now += seconds
 
     @hypothesis.stateful.rule(seconds=strategies.sampled_from([2.0, 8.0, 15.0]))
-    def settle(self, seconds):
-        self.net.settle(seconds)
+    def run_for(self, seconds):
+        self.net.run_for(seconds)
 
     @hypothesis.stateful.rule()
     def switch_store(self):
-        self.net.up = not self.net.up
+        self.net.store_up = not self.net.store_up
 
     @hypothesis.stateful.rule(name=strategies.sampled_from(NAMES))
     def silence_store(self, name):
-        self.net.silent ^= {name}
+        self.net.without_store ^= {name}
 
     @hypothesis.stateful.rule(name=strategies.sampled_from([None, *NAMES]))
-    def cut_off(self, name):
-        self.net.cut = {name} - {None}
+    def isolate_daemon(self, name):
+        self.net.partitioned = {name} - {None}
 
     @hypothesis.stateful.rule(names=strategies.sampled_from([NAMES, *NAMES]))
     def restart(self, names):
         for name in names:
             self.net.start(name)
-            self.seen[name] = 0
+            self.highest_versions[name] = 0
 
     @hypothesis.stateful.invariant()
     def versions_only_rise_and_match(self):
         for name, core in self.net.cores.items():
-            assert core.version >= self.seen[name], "a daemon went back"
+            assert core.version >= self.highest_versions[name], "a daemon went back"
             assert core.version <= self.net.version
-            self.seen[name] = core.version
+            self.highest_versions[name] = core.version
             if core.version:
                 assert core.data == DATA[core.version], "content is not the hash's"
 
     @hypothesis.stateful.invariant()
     def ready_daemons_are_not_stale(self):
-        self.net.note_stale()
+        self.net.record_staleness()
         for name, since in self.net.stale_since.items():
-            if self.net.now - since > 2 * LIMITS.cut_off:
-                found = self.net.cores[name].readiness(self.net.now)
-                assert found is not Readiness.READY, f"{name} serves an old version"
+            if self.net.now - since > 2 * LIMITS.max_staleness:
+                readiness = self.net.cores[name].readiness(self.net.now)
+                assert readiness is not Readiness.READY, f"{name} serves an old version"
 
 
 def test_versions_under_faults():
     hypothesis.stateful.run_state_machine_as_test(
-        Distributing,
+        DistributionMachine,
         settings=hypothesis.settings(
             max_examples=300,
             stateful_step_count=50,
@@ -220,9 +229,9 @@
 @pytest.fixture
 def net():
     """Three daemons that have version 1 in force."""
-    net = Net()
+    net = SimulatedNet()
     net.accept()
-    net.settle(3.0)
+    net.run_for(3.0)
     assert net.readiness() == [Readiness.READY] * 3
     return net
 
@@ -232,95 +241,95 @@
 
 
 def test_outage_keeps_daemons_that_hear_each_other_ready(net):
-    net.up = False
-    net.settle(60.0)
+    net.store_up = False
+    net.run_for(60.0)
     assert net.readiness() == [Readiness.READY] * 3
 
 
 def test_daemon_that_starts_in_an_outage_asks_peers(net):
-    net.up = False
-    net.settle(20.0)
+    net.store_up = False
+    net.run_for(20.0)
     net.start("a")
     assert net.cores["a"].readiness(net.now) is Readiness.STARTING
-    net.settle(5.0)
+    net.run_for(5.0)
     assert versions(net) == [1, 1, 1]
     assert net.readiness() == [Readiness.READY] * 3
 
 
 def test_all_restarted_in_an_outage_are_not_ready_until_it_ends(net):
-    net.up = False
+    net.store_up = False
     for name in NAMES:
         net.start(name)
-    net.settle(60.0)
+    net.run_for(60.0)
     assert net.readiness() == [Readiness.STARTING] * 3
-    net.up = True
-    net.settle(3.0)
+    net.store_up = True
+    net.run_for(3.0)
     assert versions(net) == [1, 1, 1]
 
 
 def test_cut_off_daemon_stops_and_its_old_version_does_not_spread(net):
-    net.cut = {"a"}
-    net.settle(7.0)
+    net.partitioned = {"a"}
+    net.run_for(7.0)
     assert net.cores["a"].readiness(net.now) is Readiness.CUT_OFF
     net.accept()
-    net.settle(3.0)
-    net.up = False
+    net.run_for(3.0)
+    net.store_up = False
     net.start("b")
     net.start("c")
-    net.cut = set()
-    net.settle(30.0)
+    net.partitioned = set()
+    net.run_for(30.0)
     assert Readiness.READY not in net.readiness()
     assert versions(net) == [1, 0, 0]
 
 
 def test_version_accepted_right_before_an_outage_comes_into_force(net):
     net.accept("b")
-    net.up = False
-    net.settle(3.0)
+    net.store_up = False
+    net.run_for(3.0)
     assert versions(net) == [2, 2, 2]
 
 
 def test_daemon_that_hears_only_peers_follows_them(net):
-    net.silent = {"a"}
+    net.without_store = {"a"}
     net.accept()
-    net.settle(3.0)
+    net.run_for(3.0)
     assert versions(net) == [2, 2, 2]
-    net.settle(20.0)
+    net.run_for(20.0)
     assert net.readiness() == [Readiness.READY] * 3
 
 
 def test_paused_daemon_does_not_take_buffered_answers_for_news(net):
     core = net.cores["a"]
-    net.up = False
-    net.settle(5.0)
+    net.store_up = False
+    net.run_for(5.0)
     net.tick("a")
-    for _ in range(len(net.under_way)):
-        net.carry_out(0)
-    answers = [one for one in net.under_way if isinstance(one[1], message.SendPeer)]
+    for _ in range(len(net.in_flight)):
+        net.complete_action(0)
+    answers = [item for item in net.in_flight if isinstance(item[1], message.SendPeer)]
     assert answers
     net.now += 30.0
-    while net.under_way:
-        net.carry_out(0)
+    while net.in_flight:
+        net.complete_action(0)
     assert core.readiness(net.now) is Readiness.CUT_OFF
 
 
 def test_majority_is_needed_of_those_asked():
-    heard = hearing.Hearing(6.0, 1.0)
-    numbers = [heard.ask(peer, 0.0) for peer in "bcde"]
-    heard.note_answer(numbers[0], "b", True)
-    assert heard.hears_most(0.5)
-    assert not heard.hears_most(1.0)
-    heard.note_answer(numbers[1], "c", True)
-    assert heard.hears_most(1.0)
-    assert not heard.hears_most(6.1)
+    peer_quorum = quorum.PeerQuorum(6.0, 1.0)
+    numbers = [peer_quorum.add_question(peer, 0.0) for peer in "bcde"]
+    peer_quorum.record_answer(numbers[0], "b", True)
+    assert peer_quorum.has_quorum(0.5)
+    assert not peer_quorum.has_quorum(1.0)
+    peer_quorum.record_answer(numbers[1], "c", True)
+    assert peer_quorum.has_quorum(1.0)
+    assert not peer_quorum.has_quorum(6.1)
 
 
 def test_fetch_without_answer_is_tried_elsewhere(net):
     core = net.cores["a"]
-    told = message.Received("b", message.Tell(2, HASHES[2]))
-    first = core.handle(told, net.now)
+    tell = message.Received("b", message.Tell(2, HASHES[2]))
+    first = core.handle(tell, net.now)
     assert first == [message.FetchObject(HASHES[2])]
-    again = core.handle(message.Tick(), net.now + LIMITS.retry)
+    again = core.handle(message.Tick(), net.now + LIMITS.fetch_retry_interval)
     assert message.SendPeer("b", message.Want(HASHES[2])) in again
 
 
@@ -328,18 +337,18 @@
     net.now += 1.5
     net.tick("a")
     net.now += 30.0
-    net.carry_out(0)
+    net.complete_action(0)
     assert net.cores["a"].readiness(net.now) is Readiness.CUT_OFF
 
 
-@pytest.mark.parametrize("silent", [set(), {"a"}])
-def test_daemon_that_cannot_fetch_a_version_stops(net, silent):
-    net.silent = silent
+@pytest.mark.parametrize("without_store", [set(), {"a"}])
+def test_daemon_that_cannot_fetch_a_version_stops(net, without_store):
+    net.without_store = without_store
     core = net.cores["a"]
     core.handle(message.Received("b", message.Tell(2, "0" * 64)), net.now)
-    net.settle(4.0)
+    net.run_for(4.0)
     assert core.readiness(net.now) is Readiness.READY
-    net.settle(4.0)
+    net.run_for(4.0)
     assert core.readiness(net.now) is Readiness.BEHIND
 
 
@@ -354,9 +363,9 @@
 
 def test_store_that_was_set_back_is_not_followed(net):
     net.accept()
-    net.settle(3.0)
+    net.run_for(3.0)
     net.accepted.pop()
-    net.settle(20.0)
+    net.run_for(20.0)
     assert versions(net) == [2, 2, 2]
 
 
@@ -373,7 +382,7 @@
     documents = store.Store(platform.table, platform.objects)
     installed = []
     fleet = []
-    watching = watcher.Watcher(
+    watcher_task = watcher.Watcher(
         distribution.Distribution(LIMITS, random.Random(1)),
         platform.table,
         platform.objects,
@@ -388,10 +397,10 @@
     condition = watcher.table.Condition(watcher.FLEET_SIGNAL, 0)
     await platform.table.commit([condition], [write], purpose="test")
     async with watcher.anyio.create_task_group() as tasks:
-        tasks.start_soon(watching.run)
+        tasks.start_soon(watcher_task.run)
         while not installed:
             await watcher.anyio.lowlevel.checkpoint()
         tasks.cancel_scope.cancel()
     assert installed == [(1, free)]
     assert len(fleet) == 1
-    assert watching.readiness is Readiness.READY
+    assert watcher_task.readiness is Readiness.READY
--- a/wigeonhitch/configuration/tests/test_store.py
+++ b/wigeonhitch/configuration/tests/test_store.py
@@ -10,13 +10,13 @@
     return store.Submission(id, base, intended, author)
 
 
-async def accept(documents, intended, id, base):
+async def accept_document(documents, intended, id, base):
     """Put a document in force with every approval it needs."""
     result = await documents.submit(submission(intended, id, base))
     if result.status is Status.WAITING:
-        content = result.known.hash
+        content_hash = result.stored.hash
         roles = frozenset({"operations", "owner"})
-        result = await documents.approve(id, "ben", roles, content)
+        result = await documents.approve(id, "ben", roles, content_hash)
     assert result.status is Status.ACCEPTED
     return result.version
 
@@ -27,51 +27,51 @@
     assert waiting.status is Status.WAITING
     accepted = await documents.submit(submission(free, "s2"))
     assert (accepted.status, accepted.version) == (Status.ACCEPTED, 1)
-    found = await documents.read_document()
-    assert found.intended == free
+    accepted = await documents.read_document()
+    assert accepted.intended == free
 
 
 async def test_approval_by_author_or_wrong_role_or_of_other_content(
     documents, altiplano
 ):
     waiting = await documents.submit(submission(altiplano))
-    content = waiting.known.hash
+    content_hash = waiting.stored.hash
     roles = frozenset({"operations", "owner"})
-    own = await documents.approve("s1", "ana", roles, content)
+    own = await documents.approve("s1", "ana", roles, content_hash)
     assert own.status is Status.OWN
-    clerk = await documents.approve("s1", "ben", frozenset({"clerk"}), content)
+    clerk = await documents.approve("s1", "ben", frozenset({"clerk"}), content_hash)
     assert clerk.status is Status.NO_ROLE
     other = await documents.approve("s1", "ben", roles, "0" * 64)
     assert other.status is Status.OTHER_CONTENT
-    half = await documents.approve("s1", "ben", frozenset({"operations"}), content)
+    half = await documents.approve("s1", "ben", frozenset({"operations"}), content_hash)
     assert half.status is Status.WAITING
-    assert [need.change for need in half.known.missing] == ["approvals"]
-    whole = await documents.approve("s1", "eva", frozenset({"owner"}), content)
+    assert [need.change for need in half.stored.missing] == ["approvals"]
+    whole = await documents.approve("s1", "eva", frozenset({"owner"}), content_hash)
     assert (whole.status, whole.version) == (Status.ACCEPTED, 1)
 
 
 async def test_conflict_names_the_version_to_rebase_on(documents, altiplano):
-    await accept(documents, altiplano, "s1", 0)
+    await accept_document(documents, altiplano, "s1", 0)
     changed = altiplano._replace(weights=altiplano.weights._replace(moves=2.0))
     waiting = await documents.submit(
         submission(altiplano._replace(pools=altiplano.pools[::-1]), "s2", 1)
     )
     assert waiting.status is Status.WAITING
-    assert await accept(documents, changed, "s3", 1) == 2
+    assert await accept_document(documents, changed, "s3", 1) == 2
     late = await documents.submit(submission(altiplano, "s4", 1))
     assert (late.status, late.version) == (Status.CONFLICT, 2)
     lapsed = await documents.approve(
-        "s2", "ben", frozenset({"operations"}), waiting.known.hash
+        "s2", "ben", frozenset({"operations"}), waiting.stored.hash
     )
     assert (lapsed.status, lapsed.version) == (Status.CONFLICT, 2)
 
 
 async def test_undo_is_a_new_version(documents, altiplano):
-    await accept(documents, altiplano, "s1", 0)
+    await accept_document(documents, altiplano, "s1", 0)
     changed = altiplano._replace(weights=altiplano.weights._replace(moves=2.0))
-    await accept(documents, changed, "s2", 1)
+    await accept_document(documents, changed, "s2", 1)
     first = await documents.read_document(1)
-    assert await accept(documents, first.intended, "s3", 2) == 3
+    assert await accept_document(documents, first.intended, "s3", 2) == 3
     history = await documents.list_history(10)
     assert [row.value["version"] for row in history.rows] == [3, 2, 1]
     assert history.rows[0].value["hash"] == history.rows[2].value["hash"]
@@ -98,9 +98,9 @@
 
 
 async def test_objects_are_stored_before_rows(platform, documents, altiplano):
-    await accept(documents, altiplano, "s1", 0)
-    found = await documents.read_document()
-    assert canonical.hash_bytes(canonical.encode(found.intended)) == found.hash
+    await accept_document(documents, altiplano, "s1", 0)
+    accepted = await documents.read_document()
+    assert canonical.hash_bytes(canonical.encode(accepted.intended)) == accepted.hash
 
 
 async def test_daemon_that_accepts_learns_it_with_the_content(platform, altiplano):
@@ -118,7 +118,7 @@
         on_accepted=lambda *news: noted.append(news),
     )
     data = canonical.encode(altiplano)
-    content = canonical.hash_bytes(data)
+    content_hash = canonical.hash_bytes(data)
     roles = frozenset({"operations", "owner"})
-    await other.approve("s1", "ben", roles, content)
-    assert noted == [(1, content, data)]
+    await other.approve("s1", "ben", roles, content_hash)
+    assert noted == [(1, content_hash, data)]
--- a/wigeonhitch/configuration/watcher.py
+++ b/wigeonhitch/configuration/watcher.py
@@ -27,10 +27,10 @@
 
 # Events that wait at most. Peers send a few a second; beyond that they are
 # dropped and counted, since every one of them is repeated or polled for.
-WAITING_EVENTS = 256
+MAX_QUEUED_EVENTS = 256
 
 # Shortest sleep between two ticks, seconds.
-SHORTEST_WAIT = 0.01
+MIN_WAIT_SECONDS = 0.01
 
 
 class Peers(Protocol):
@@ -80,11 +80,11 @@
         self.clock = clock
         self.install = install
         self.on_fleet_change = on_fleet_change
-        self.dropped = 0
-        self._fleet = 0
-        self._readiness = distribution.Readiness.STARTING
+        self.dropped_events = 0
+        self._fleet_version = 0
+        self._logged_readiness = distribution.Readiness.STARTING
         self._send, self._receive = anyio.create_memory_object_stream[message.Event](
-            WAITING_EVENTS
+            MAX_QUEUED_EVENTS
         )
 
     @property
@@ -96,23 +96,23 @@
         """Take a message that a peer sent."""
         received = message.decode(data)
         if received is not None:
-            self.post(message.Received(peer, received))
+            self.enqueue(message.Received(peer, received))
 
     def set_peers(self, peers: tuple[str, ...]) -> None:
         """Take the present peers, without this daemon."""
-        self.post(message.PeersChanged(peers))
+        self.enqueue(message.PeersChanged(peers))
 
-    def handle_accepted(self, version: int, content: str, data: bytes) -> None:
+    def handle_accepted(self, version: int, content_hash: str, data: bytes) -> None:
         """Take a version that this daemon itself put in force, and its content."""
-        self.post(message.Received("", message.Tell(version, content)))
-        self.post(message.Fetched(content, data))
+        self.enqueue(message.Received("", message.Tell(version, content_hash)))
+        self.enqueue(message.Fetched(content_hash, data))
 
-    def post(self, event: message.Event) -> None:
+    def enqueue(self, event: message.Event) -> None:
         """Queue an event; drop it when too many wait."""
         try:
             self._send.send_nowait(event)
         except anyio.WouldBlock:
-            self.dropped += 1
+            self.dropped_events += 1
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -123,7 +123,7 @@
     async def _step(self, tasks: anyio.abc.TaskGroup) -> None:
         """Wait for one event or the next tick and carry out what follows."""
         now = self.clock()
-        wait = max(self.core.next_wake(now) - now, SHORTEST_WAIT)
+        wait = max(self.core.next_wake(now) - now, MIN_WAIT_SECONDS)
         event: message.Event = message.Tick()
         with anyio.move_on_after(wait):
             event = await self._receive.receive()
@@ -132,10 +132,10 @@
             # Under a stream of events the ticks must not starve.
             actions += self.core.handle(message.Tick(), self.clock())
         for action in actions:
-            self._carry_out(action, tasks)
+            self._start_action(action, tasks)
         self._log_readiness()
 
-    def _carry_out(self, action: message.Action, tasks: anyio.abc.TaskGroup) -> None:
+    def _start_action(self, action: message.Action, tasks: anyio.abc.TaskGroup) -> None:
         match action:
             case message.Poll():
                 tasks.start_soon(self._poll)
@@ -155,36 +155,36 @@
     async def _poll(self) -> None:
         started = self.clock()
         read_timeout = self.core.limits.read_timeout
-        found = await self.rows.read(SIGNALS, purpose=PURPOSE, timeout=read_timeout)
-        if found.outcome is not table.Outcome.DONE:
+        answer = await self.rows.read(SIGNALS, purpose=PURPOSE, timeout=read_timeout)
+        if answer.outcome is not table.Outcome.DONE:
             await self._send.send(message.Polled(started, None))
             return
-        signal, fleet = found.rows
-        if fleet.version > self._fleet:
-            self._fleet = fleet.version
-            self.on_fleet_change(fleet.version)
-        await self._send.send(message.Polled(started, signal.version))
+        signal_row, fleet_row = answer.rows
+        if fleet_row.version > self._fleet_version:
+            self._fleet_version = fleet_row.version
+            self.on_fleet_change(fleet_row.version)
+        await self._send.send(message.Polled(started, signal_row.version))
 
     async def _read_current(self) -> None:
         started = self.clock()
         keys = (proposal.CURRENT, proposal.SIGNAL)
-        found = await self.rows.read(keys, purpose=PURPOSE)
-        if found.outcome is not table.Outcome.DONE:
+        answer = await self.rows.read(keys, purpose=PURPOSE)
+        if answer.outcome is not table.Outcome.DONE:
             await self._send.send(message.CurrentRead(started, 0, None))
             return
-        current = proposal.read_current(found.rows[0])
-        signal = found.rows[1].version
+        current = proposal.read_current(answer.rows[0])
+        signal = answer.rows[1].version
         read = message.CurrentRead(started, signal, current.version, current.hash)
         await self._send.send(read)
 
-    async def _fetch(self, content: str) -> None:
-        name = proposal.name_object(content)
+    async def _fetch(self, content_hash: str) -> None:
+        name = proposal.get_object_name(content_hash)
         data = await self.objects.get(name, purpose=PURPOSE)
-        await self._send.send(message.Fetched(content, data))
+        await self._send.send(message.Fetched(content_hash, data))
 
     def _log_readiness(self) -> None:
         """Log a change of readiness, once."""
-        found = self.readiness
-        if found is not self._readiness:
-            log.log_change("document state", state=found.value)
-            self._readiness = found
+        readiness = self.readiness
+        if readiness is not self._logged_readiness:
+            log.log_change("document state", state=readiness.value)
+            self._logged_readiness = readiness
