--- a/wigeonhitch/configuration/acceptance.py
+++ b/wigeonhitch/configuration/acceptance.py
@@ -1,23 +1,21 @@
-"""Decide how a submitted document becomes the version in force.
-
-Nothing here reads or writes. Each function takes the rows as they were read
-and returns either the result or one commit to try; `store` does the reading
-and committing and decides again after every commit that was not done.
-
-Load: some 520 changes a day, a handful of operators at once. Harm prevented:
-two versions from one submission, a version built on another than the one its
-author saw, a change without its approvals, a document in force that came from
-an approval of something else.
-
-Why each is prevented:
-
-- every commit has the condition that ``configuration/current`` is unchanged
-  since it was read, so of several racing submissions one wins and the others
-  learn the version to rebase on;
-- every commit has a condition on the proposal's own row, so a commit that is
-  tried again after a lost answer cannot take effect twice;
-- the version row, the current row, the proposal and the signal change in one
-  commit, so nobody sees a part of it.
+"""Decisions on submissions, approvals and rejections, without I/O.
+
+Each function takes the rows as they were read and returns either the result
+or one commit to try; `store` reads and commits, and calls it again after every
+commit that was not done.
+
+Sized for some 520 changes a day by a handful of concurrent operators. One
+submission never becomes two versions, a version is based on the one that its
+author saw, and a document comes into force only with the approvals given for
+exactly its content:
+
+- each commit of a submission or an approval is conditional on
+  ``configuration/current`` being unchanged since it was read, so one of several
+  concurrent submissions wins and the others get the version to rebase on;
+- each commit is conditional on the proposal's own row, so that a commit that is
+  retried after a lost answer cannot take effect twice;
+- the version row, the current row, the proposal and the signal row change in
+  one commit, so that no reader sees only some of them.
 """
 
 import enum
@@ -37,7 +35,7 @@
 
 
 class Status(enum.Enum):
-    """What became of an operator's request; sentinels, not exceptions."""
+    """Outcome of an operator's request, returned rather than raised."""
 
     ACCEPTED = "accepted"
     WAITING = "waiting for approval"
@@ -60,14 +58,14 @@
     Parameters
     ----------
     status : Status
-        What became of it.
+        Outcome of the request.
     version : int
         The version now in force as far as is known: the new one when
         accepted, the one to rebase on after a conflict.
-    known : proposal.Proposal or None
-        The proposal as it stands.
+    stored : proposal.Proposal or None
+        The proposal as stored after the request.
     reason : str
-        Details for people.
+        Human-readable details.
     """
 
     status: Status
@@ -77,7 +75,7 @@
 
 
 class Commit(NamedTuple):
-    """One commit to try, and the result once it is done."""
+    """One commit to try, and the result to return once it is done."""
 
     conditions: tuple[table.Condition, ...]
     writes: tuple[table.Write, ...]
@@ -95,11 +93,11 @@
     ----------
     current : Current
         The version in force.
-    known : Proposal or None
-        The row under the submission's id, if there is one: the submission was
-        made before and its answer was lost, or the id is being reused.
+    stored : Proposal or None
+        The proposal stored under the submission's id, if there is one: the
+        request is a retry after a lost answer, or the id is being reused.
     submitted : Proposal
-        The submission, with the needs that the rules in force ask for.
+        The submission, with the approvals that the rules in force require.
     """
     if stored is not None:
         return resolve_repeat(current, stored, submitted)
@@ -119,7 +117,7 @@
     stored: proposal.Proposal,
     submitted: proposal.Proposal,
 ) -> Result:
-    """Return what became of a submission that is already stored."""
+    """Return the result of a submission whose id is already stored."""
     identity = (stored.base, stored.hash, stored.author)
     if identity != (submitted.base, submitted.hash, submitted.author):
         reason = f"it holds {stored.hash[:12]} by {stored.author} on {stored.base}"
@@ -128,7 +126,7 @@
 
 
 def build_result(current: proposal.Current, stored: proposal.Proposal) -> Result:
-    """Return the result that a stored proposal stands for."""
+    """Return the result that corresponds to the state of a stored proposal."""
     if stored.state is proposal.State.ACCEPTED:
         return Result(Status.ACCEPTED, stored.version, stored)
     if stored.state is proposal.State.REJECTED:
@@ -150,38 +148,40 @@
 def decide_approval(
     current: proposal.Current,
     stored: proposal.Proposal | None,
-    given: approval.Given,
+    new_approval: approval.Given,
 ) -> Result | Commit:
-    """Decide about an approval that an operator gives.
+    """Decide about an operator's approval of a proposal.
 
     Parameters
     ----------
     current : Current
         The version in force.
-    known : Proposal or None
-        The proposal, None when there is none of that id.
-    given : approval.Given
-        Who approves, with which roles, and the content they saw.
+    stored : Proposal or None
+        The proposal; None when there is none with that id.
+    new_approval : approval.Given
+        The approving operator, their roles and the hash of the content.
     """
     if stored is None:
         return Result(Status.MISSING, current.version)
     result = build_result(current, stored)
     if result.status is not Status.WAITING:
         return result
-    if given.hash != stored.hash:
+    if new_approval.hash != stored.hash:
         reason = f"it holds {stored.hash}"
         return Result(Status.OTHER_CONTENT, current.version, stored, reason)
-    if given.operator == stored.author:
+    if new_approval.operator == stored.author:
         return Result(Status.OWN, current.version, stored)
-    if any(entry.operator == given.operator for entry in stored.given):
+    if any(entry.operator == new_approval.operator for entry in stored.given):
         return result
     requested_roles = {role for need in stored.needs for role in need.roles}
-    if not requested_roles & set(given.roles):
+    if not requested_roles & set(new_approval.roles):
         reason = "asked for: " + ", ".join(sorted(requested_roles))
         return Result(Status.NO_ROLE, current.version, stored, reason)
-    approved = stored._replace(given=(*stored.given, given))
+    approved = stored._replace(given=(*stored.given, new_approval))
     if not approved.missing:
-        return build_acceptance(current, approved, given.operator, given.time)
+        return build_acceptance(
+            current, approved, new_approval.operator, new_approval.time
+        )
     return Commit(
         (stored.condition, current.condition),
         (proposal.write_proposal(approved),),
@@ -196,7 +196,7 @@
     reason: str,
     time: float,
 ) -> Result | Commit:
-    """Decide about a rejection; the author may withdraw in the same way."""
+    """Decide about a rejection, by which an author may also withdraw."""
     if stored is None:
         return Result(Status.MISSING, current.version)
     if stored.state is not proposal.State.WAITING:
@@ -222,11 +222,13 @@
         "submission": accepted.id,
         "author": accepted.author,
     }
-    given = [entry._asdict() | {"roles": list(entry.roles)} for entry in accepted.given]
-    record = current_value | {
+    approvals = [
+        entry._asdict() | {"roles": list(entry.roles)} for entry in accepted.given
+    ]
+    version_value = current_value | {
         "base": accepted.base,
         "note": accepted.note,
-        "given": given,
+        "given": approvals,
         "accepted": time,
     }
     conditions = (
@@ -236,7 +238,7 @@
     )
     writes = (
         table.Write(proposal.CURRENT, current_value),
-        table.Write(proposal.get_version_key(version), record),
+        table.Write(proposal.get_version_key(version), version_value),
         proposal.write_proposal(accepted),
         table.Write(proposal.SIGNAL, {}),
     )
--- a/wigeonhitch/configuration/approval.py
+++ b/wigeonhitch/configuration/approval.py
@@ -1,9 +1,9 @@
-"""Which approvals a change needs, and which of those given count.
+"""Approvals that a change requires, and which of those given count.
 
-The customer's own rules decide, as the document in force states them: a
-proposal that loosens the rules is itself judged by the present ones. Before
-the first document there are none in force, so the first document is judged by
-its own rules; a first document without rules needs no approval.
+The rules are those of the document in force, so a proposal that loosens the
+rules is itself checked against the present ones. The first document is checked
+against its own rules, since none are in force before it; a first document
+without rules needs no approval.
 """
 
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Need(NamedTuple):
-    """So many different operators, each with one of the roles, must approve."""
+    """Number of different operators, each with one of the roles, who must approve."""
 
     change: str
     approvals: int
@@ -22,20 +22,20 @@
 
 
 class Given(NamedTuple):
-    """One approval that an operator gave.
+    """One approval by an operator.
 
     Parameters
     ----------
     operator : str
-        Who approved.
+        Name of the operator.
     roles : tuple of str
-        Roles that the operator had at that moment.
+        Roles of the operator at the time of the approval.
     hash : str
-        Content that was approved.
+        Content hash of the approved document.
     base : int
-        Version in force at that moment.
+        Version in force at the time of the approval.
     time : float
-        In the table's clock, seconds since the Unix epoch.
+        Time by the table's clock, seconds since the Unix epoch.
     """
 
     operator: str
@@ -48,14 +48,14 @@
 def find_needs(
     in_force: document.Document | None, proposed: document.Document
 ) -> tuple[Need, ...]:
-    """Return every approval that replacing ``in_force`` needs.
+    """Return the approvals required to replace ``in_force`` by ``proposed``.
 
     Parameters
     ----------
     in_force : Document or None
-        Its rules apply; None before the first document.
+        The document whose rules apply; None before the first document.
     proposed : Document
-        The document that is to come into force.
+        The proposed document.
     """
     changes = difference.compare(in_force, proposed)
     if not changes:
@@ -74,9 +74,9 @@
 ) -> int:
     """Return how many approvals count towards one need.
 
-    An approval counts for the content and the base version that its operator
-    saw and for no other; the author's own never counts; an operator counts
-    once however often they approve.
+    An approval counts only for the content and the base version for which it
+    was given. The author's own approval never counts, and each operator counts
+    once.
     """
     counted = {
         entry.operator
@@ -96,7 +96,7 @@
     content_hash: str,
     base: int,
 ) -> tuple[Need, ...]:
-    """Return the needs that are not met, each with the number still missing."""
+    """Return the unmet needs, each with the number of approvals still missing."""
     missing = []
     for need in needs:
         remaining = need.approvals - count_approvals(
--- a/wigeonhitch/configuration/canonical.py
+++ b/wigeonhitch/configuration/canonical.py
@@ -1,7 +1,7 @@
-"""Canonical bytes of a document, and the hash that names them.
+"""Canonical encoding of a document, and its content hash.
 
-Two texts that mean the same document have the same canonical bytes, so an
-approval given for one hash covers exactly one meaning.
+Equivalent texts have the same canonical bytes, so an approval of one hash
+covers exactly one document.
 """
 
 import hashlib
@@ -14,7 +14,7 @@
 
 
 def to_plain(value: Any) -> Any:
-    """Return records as plain dicts and tuples as lists, recursively.
+    """Convert records to dicts and tuples to lists, recursively.
 
     Examples
     --------
@@ -29,7 +29,7 @@
 
 
 def encode(intended: document.Document) -> bytes:
-    """Return the canonical bytes: JSON, sorted keys, no spaces, UTF-8."""
+    """Return the canonical bytes: JSON with sorted keys, no spaces, in UTF-8."""
     plain = to_plain(intended)
     text = json.dumps(plain, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
     return text.encode("utf-8")
--- a/wigeonhitch/configuration/check.py
+++ b/wigeonhitch/configuration/check.py
@@ -1,7 +1,7 @@
-"""Check a fleet document whole: shape first, then what it refers to.
+"""Validation of a fleet document: its schema first, then its references.
 
-The outcome is a checked `document.Document` or every problem found, never a
-part of a document. Text is YAML, of which JSON is a part.
+The outcome is a checked `document.Document` or all problems found, never a
+partial document. The text is YAML, of which JSON is a subset.
 """
 
 import json
@@ -14,8 +14,9 @@
 
 __all__ = ["MAX_TEXT_LENGTH", "Checked", "check_plain", "check_text", "load_canonical"]
 
-# Largest text that is parsed, bytes: 128 pools, 130 teams and a wave for each
-# pool take about 80 kB; the limit keeps one request from filling a daemon.
+# Maximum length of a text that is parsed, in characters: 128 pools, 130 teams
+# and a wave for each pool take about 80 kB. The limit keeps one request from
+# exhausting a daemon's memory.
 MAX_TEXT_LENGTH = 1_000_000
 
 ADAPTER = pydantic.TypeAdapter(
@@ -34,10 +35,9 @@
 
 
 class Checked(NamedTuple):
-    """A checked document, or the problems that refused it.
+    """A checked document, or the problems for which it was refused.
 
-    Exactly one of the two is given: ``intended`` is None if and only if there
-    are problems.
+    ``intended`` is None if and only if there are problems.
     """
 
     intended: document.Document | None
@@ -45,10 +45,10 @@
 
 
 class UniqueKeyLoader(yaml.SafeLoader):
-    """YAML loader that refuses a key given twice, which YAML would drop."""
+    """YAML loader that refuses duplicate keys, of which PyYAML keeps only one."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict:
-        """Build one mapping from a node; its keys must differ."""
+        """Build a mapping from a node; raise if a key is repeated or not text."""
         seen_keys = set()
         for key_node, _ in node.value:
             key = self.construct_object(key_node, deep=True)
@@ -64,7 +64,7 @@
         return super().construct_mapping(node, deep)
 
     def compose_node(self, parent: Any, index: Any) -> Any:
-        """Refuse aliases: a few lines of them can expand without bound."""
+        """Refuse aliases, since a few nested ones can expand exponentially."""
         if self.check_event(yaml.events.AliasEvent):
             event = self.peek_event()
             raise yaml.composer.ComposerError(
@@ -79,7 +79,7 @@
     Parameters
     ----------
     text : str
-        The whole text.
+        The complete text.
 
     Returns
     -------
@@ -96,7 +96,7 @@
 
 
 def check_plain(data: Any) -> Checked:
-    """Check a decoded document (dicts, lists, text, numbers)."""
+    """Check a decoded document of dicts, lists, text and numbers."""
     if not isinstance(data, dict):
         return build_refusal("an object", data)
     try:
@@ -119,7 +119,7 @@
 
 
 def load_canonical(data: bytes) -> document.Document | None:
-    """Return the document that canonical bytes hold, or None if unreadable."""
+    """Return the document encoded in canonical bytes, or None if unreadable."""
     try:
         return check_plain(json.loads(data)).intended
     except (ValueError, RecursionError):
@@ -127,12 +127,12 @@
 
 
 def build_refusal(expected: str, value: Any) -> Checked:
-    """Return the outcome of a text that is no document at all."""
+    """Return the outcome for a text that is not a document at all."""
     return Checked(None, (problem.Problem("", value, expected),))
 
 
 def translate_error(detail: Any) -> problem.Problem:
-    """Return a problem for one error of the validation library."""
+    """Convert an error of the validation library to a problem."""
     kind = detail["type"]
     expected = EXPECTED_BY_ERROR_TYPE.get(kind)
     if expected is None:
--- a/wigeonhitch/configuration/difference.py
+++ b/wigeonhitch/configuration/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two documents, by section and named item."""
+"""Differences between two documents, by section and named item."""
 
 import enum
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Effect(enum.Enum):
-    """What happens to an item."""
+    """Whether an item is added, changed or removed."""
 
     ADDED = "added"
     CHANGED = "changed"
@@ -17,20 +17,20 @@
 
 
 class Change(NamedTuple):
-    """One difference.
+    """One difference between two documents.
 
     Parameters
     ----------
     section : str
         Top-level section of the document, such as ``"pools"``.
     item : str
-        Name of the item; empty where items have none.
+        Name of the item; empty in sections whose items have no name.
     effect : Effect
         Whether the item was added, changed or removed.
     field : str
-        The field that changed; empty when the whole item came or went.
+        The field that changed; empty when the item was added or removed.
     before, after : object
-        Plain values; None where the item was absent.
+        Values as dicts, lists and scalars; None where the item was absent.
     """
 
     section: str
@@ -44,19 +44,19 @@
 def compare(
     before: document.Document | None, after: document.Document
 ) -> tuple[Change, ...]:
-    """Return what changes when ``after`` replaces ``before``.
+    """Return the changes made by replacing ``before`` with ``after``.
 
     Parameters
     ----------
     before : Document or None
         The document in force; None before the first.
     after : Document
-        The document proposed.
+        The proposed document.
 
     Returns
     -------
     tuple of Change
-        In the order of the document's sections; empty when both mean the same.
+        In the order of the document's sections; empty when both are equivalent.
     """
     changes = []
     for section in document.Document._fields:
@@ -70,7 +70,7 @@
 
 
 def list_sections(changes: tuple[Change, ...]) -> frozenset[str]:
-    """Return the sections that the changes touch."""
+    """Return the sections that contain changes."""
     return frozenset(change.section for change in changes)
 
 
@@ -84,7 +84,7 @@
 
 
 def is_named(items: Any) -> bool:
-    """Return whether a section is a list of items with names (or is absent)."""
+    """Return whether a section is a list of named items, or absent."""
     if items is None:
         return True
     return isinstance(items, list) and all("name" in item for item in items)
@@ -107,7 +107,7 @@
 
 
 def compare_fields(section: str, name: str, old: dict, new: dict) -> list[Change]:
-    """Return the fields of one item that differ."""
+    """Return the changed fields of one item."""
     return [
         Change(section, name, Effect.CHANGED, field, old.get(field), value)
         for field, value in new.items()
@@ -116,7 +116,7 @@
 
 
 def format_change(change: Change) -> str:
-    """Return one line for people.
+    """Return a change as one human-readable line.
 
     Examples
     --------
--- a/wigeonhitch/configuration/distribution.py
+++ b/wigeonhitch/configuration/distribution.py
@@ -1,24 +1,25 @@
-"""Decide which version is in force on this daemon, and whether it may serve.
-
-Events go in, actions come out; nothing here reads, sends or looks at a clock.
-
-Load: one change every three minutes (520 a day), some 220 daemons, a store
-that is slow or down for long, peers that are paused, cut off or replaced.
-Harm prevented: a daemon that goes back to an older version; one that serves
-under a version that everybody else has left; a load that grows with the
-number of daemons.
-
-- Each daemon reads one small row each `Limits.poll` seconds, whatever the
-  number of daemons. A change is told to `Limits.fan_out` peers, once.
-- A version only ever rises. Content is taken by its hash, so it does not
-  matter who sends it.
-- While the store answers, peers are not asked. When it does not, a few peers
-  are asked in turn; what they answer counts as of the time of the question,
-  since an answer may have lain in a buffer while this process was paused.
-- Nobody can accept a version while the store is down, so daemons that hear
-  one another go on through an outage. A daemon that hears neither the store
-  nor most of the peers it asks may be the one that is cut off while others
-  accept a version: it stops serving after `Limits.cut_off`.
+"""Decisions on which version is in force on a daemon and whether it may serve.
+
+A state machine without I/O: `Distribution.handle` takes events and the time
+and returns actions.
+
+Sized for one change every three minutes (520 a day) and some 220 daemons, with
+a store that is slow or down for long and peers that are paused, cut off or
+replaced. A daemon never returns to an older version, does not serve under a
+version that all others have replaced, and its load does not grow with the
+number of daemons:
+
+- Each daemon reads one small row every `Limits.poll_interval` seconds, and
+  notifies `Limits.fan_out` peers of a change, once.
+- The version never decreases. Content is verified against its hash, so it may
+  come from any sender.
+- While the store answers, peers are not asked. Otherwise a few peers are asked
+  in turn. An answer counts as of the time of its question, since it may have
+  been buffered while this process was paused.
+- No version can be accepted while the store is down, so daemons that reach one
+  another go on serving through an outage. A daemon that reaches neither the
+  store nor a majority of the peers that it asks may be partitioned from others
+  that accept a version: it stops serving after `Limits.max_staleness`.
 """
 
 import collections
@@ -36,36 +37,36 @@
 
 __all__ = ["Distribution", "Limits", "Readiness"]
 
-# Whether a fetch goes to a peer, by the number of the fetch.
+# Whether a fetch goes to a peer, indexed by the number of the fetch.
 PEER_TURNS_NORMAL = (True, False)
 PEER_TURNS_STORE_SILENT = (False, True, True, True)
 
 
 class Limits(NamedTuple):
-    """Limits of distribution.
+    """Intervals, time-outs and counts of distribution.
 
     Parameters
     ----------
-    poll : float
-        Seconds between two reads of the signal row. One second is 220 of the
-        store's two thousand reads a second at the target.
+    poll_interval : float
+        Seconds between two reads of the signal row. At one second, 220 daemons
+        take 220 of the store's 2000 reads a second.
     jitter : float
-        Share of ``poll`` by which it varies, so that daemons started together
-        do not read together.
-    cut_off : float
-        Seconds without proof from the store or peers that the version is the
-        newest, after which the daemon is not ready. Some five lost polls; below
-        the nine seconds in which a change must be in force.
+        Fraction of ``poll_interval`` by which it varies, so that daemons
+        started together do not poll at the same time.
+    max_staleness : float
+        Seconds without confirmation by the store or peers that the version is
+        the newest, after which the daemon is not ready. About five lost polls;
+        below the nine seconds in which a change must be in force.
     fan_out : int
-        Peers told of a change, and peers asked at once when the store is
-        silent.
-    answer : float
-        Seconds after which an unanswered question counts as unanswered.
-    retry : float
-        Seconds after which a fetch is tried again elsewhere.
+        Number of peers notified of a change, and of peers asked at once while
+        the store does not answer.
+    answer_timeout : float
+        Seconds after which a question counts as unanswered.
+    fetch_retry_interval : float
+        Seconds after which a fetch is retried from another source.
     read_timeout : float
-        Seconds that a read of the signal may take. Long enough for a slow
-        store, below ``cut_off`` so that what it answers is still news.
+        Seconds that a read of the signal row may take. Long enough for a slow
+        store; below ``max_staleness``, so that its answer is still recent.
     """
 
     poll_interval: float = 1.0
@@ -78,7 +79,7 @@
 
 
 class Readiness(enum.Enum):
-    """Whether this daemon may serve, and if not, why."""
+    """Whether a daemon may serve, and the reason if it may not."""
 
     READY = "ready"
     STARTING = "nobody has told which version is in force"
@@ -89,21 +90,21 @@
 
 
 class Distribution:
-    """State of one daemon.
+    """Distribution state of one daemon.
 
     Parameters
     ----------
     limits : Limits
-        Periods and counts.
+        Intervals, time-outs and counts.
     rng : random.Random
-        Seeded source for jitter and the choice of peers.
+        Random source for the jitter and the choice of peers.
 
     Notes
     -----
-    ``version`` and ``intended`` are what is in force here; ``counts`` has
-    what was ignored and why. ``_target`` is the newest version known to
-    exist; ``_confirmed`` the last time as of which the store showed that the
-    version in force here is the newest, whatever peers say.
+    ``version`` and ``intended`` are in force on this daemon; ``counts`` has the
+    ignored messages by reason. ``_target`` is the newest version known to
+    exist. ``_confirmed_as_of`` is the last time as of which the store confirmed
+    that the version in force here is the newest, whatever peers answer.
     """
 
     def __init__(self, limits: Limits, rng: random.Random) -> None:
@@ -115,7 +116,7 @@
         self.data = b""
         self.counts: collections.Counter[str] = collections.Counter()
         self.peers: tuple[str, ...] = ()
-        self._target = 0
+        self._target_version = 0
         self._target_hash = ""
         self._target_peer = ""
         self._target_as_of = float("-inf")
@@ -132,14 +133,14 @@
         self._next_ask_at = float("-inf")
 
     def handle(self, event: message.Event, now: float) -> list[message.Action]:
-        """Take one event and return what is to be done.
+        """Handle one event and return the actions to perform.
 
         Parameters
         ----------
         event : message.Event
-            What happened.
+            The event.
         now : float
-            Seconds on a clock that counts suspension.
+            Seconds by a clock that includes time in suspension.
         """
         match event:
             case message.Polled():
@@ -156,24 +157,26 @@
         return self._tick(now)
 
     def readiness(self, now: float) -> Readiness:
-        """Return whether this daemon may serve at this moment."""
+        """Return whether this daemon may serve at a time."""
         if self.version == 0:
-            store_answers_recent = (
+            store_answered_recently = (
                 now - self._store_answered_as_of <= self.limits.max_staleness
             )
-            return Readiness.NO_DOCUMENT if store_answers_recent else Readiness.STARTING
+            return (
+                Readiness.NO_DOCUMENT if store_answered_recently else Readiness.STARTING
+            )
         if self._hash_disagrees:
             return Readiness.DISAGREES
         if now - self._confirmed_as_of <= self.limits.max_staleness:
             return Readiness.READY
-        if self._target > self.version:
+        if self._target_version > self.version:
             return Readiness.BEHIND
         if self._quorum.has_quorum(now):
             return Readiness.READY
         return Readiness.CUT_OFF
 
     def next_wake(self, now: float) -> float:
-        """Return when a tick is due next."""
+        """Return the time of the next tick."""
         if self._polling:
             return now + self.limits.answer_timeout / 2
         return max(self._next_poll_at, now)
@@ -193,12 +196,12 @@
             self._next_ask_at = now + self.limits.poll_interval
             actions += self._ask_peers(now)
         retry_due = now - self._last_fetch_at >= self.limits.fetch_retry_interval
-        if self._target > self.version and retry_due:
+        if self._target_version > self.version and retry_due:
             actions += self._fetch(now)
         return actions
 
     def _is_store_silent(self, now: float) -> bool:
-        """Return whether the store is slow or down: two periods without news."""
+        """Return whether the store is slow or down: no answer for two intervals."""
         return now - self._store_answered_as_of > 2 * self.limits.poll_interval
 
     def _handle_polled(self, event: message.Polled, now: float) -> list[message.Action]:
@@ -206,11 +209,11 @@
             self._polling = False
             return []
         if event.signal != self._signal_version:
-            # Still polling: the row itself is read as the second half.
+            # The poll continues with a read of the row of the current version.
             return [message.ReadCurrent()]
         self._polling = False
         self._store_answered_as_of = max(self._store_answered_as_of, event.started)
-        if self._target <= self.version:
+        if self._target_version <= self.version:
             self._confirmed_as_of = max(self._confirmed_as_of, event.started)
         return []
 
@@ -222,8 +225,9 @@
             return []
         self._signal_version = event.signal
         self._store_answered_as_of = max(self._store_answered_as_of, event.started)
-        if event.version < max(self.version, self._target):
-            # A read begun before a change, or a store set back: never follow.
+        if event.version < max(self.version, self._target_version):
+            # The read began before a change, or the store was restored to an
+            # earlier state; the version must not decrease.
             self.counts["older version ignored"] += 1
             return []
         if event.version and event.version == self.version:
@@ -237,12 +241,12 @@
     def _set_target(
         self, version: int, content_hash: str, peer: str, now: float
     ) -> list[message.Action]:
-        """Make a version the one to fetch; it only ever rises."""
-        if version <= max(self.version, self._target):
-            if version == self._target and peer and not self._target_peer:
+        """Set the version to fetch, unless it is not newer than the present one."""
+        if version <= max(self.version, self._target_version):
+            if version == self._target_version and peer and not self._target_peer:
                 self._target_peer = peer
             return []
-        self._target = version
+        self._target_version = version
         self._target_as_of = float("-inf")
         self._target_hash = content_hash
         self._target_peer = peer
@@ -250,11 +254,11 @@
         return self._fetch(now)
 
     def _fetch(self, now: float) -> list[message.Action]:
-        """Ask for the target's content: the store and peers by turns.
+        """Request the target's content, from the store and peers in turn.
 
-        The store comes first while it answers, so that a change does not cost
-        the daemons that tell it a document for each peer they tell. While it
-        is silent peers come first, and the store every fourth time.
+        The store comes first while it answers, so that a daemon does not have
+        to send the document to every peer that it notifies. Otherwise peers
+        come first, and every fourth fetch goes to the store.
         """
         self._last_fetch_at = now
         self._fetch_count += 1
@@ -269,14 +273,14 @@
         )
         if self._fetching_from_store:
             return [message.FetchObject(self._target_hash)]
-        # The next turn asks another peer, in case this one is gone.
+        # The next fetch asks another peer, in case this one is gone.
         self._target_peer = ""
         return [message.SendPeer(peer, message.Want(self._target_hash))]
 
     def _handle_fetched(
         self, event: message.Fetched, now: float
     ) -> list[message.Action]:
-        if event.hash != self._target_hash or self._target <= self.version:
+        if event.hash != self._target_hash or self._target_version <= self.version:
             return []
         if event.data is None:
             return self._fetch(now) if self._fetching_from_store else []
@@ -285,11 +289,11 @@
             return []
         intended = check.load_canonical(event.data)
         if intended is None:
-            # Accepted by a daemon that knows more than this one: not ready
-            # once it is behind for too long, rather than half understood.
+            # Accepted by a daemon of a newer release. This daemon becomes not
+            # ready after `Limits.max_staleness` rather than apply it in part.
             self.counts["content is not understood"] += 1
             return []
-        self.version = self._target
+        self.version = self._target_version
         self.hash = event.hash
         self.intended = intended
         self.data = event.data
@@ -299,7 +303,7 @@
         return [install, *self._notify_peers()]
 
     def _notify_peers(self) -> list[message.Action]:
-        """Tell a fixed few peers, once, so that cost does not grow."""
+        """Notify a fixed number of peers, so that cost does not grow with them."""
         tell = message.Tell(self.version, self.hash)
         return [message.SendPeer(peer, tell) for peer in self._choose_peers()]
 
@@ -339,8 +343,8 @@
         if not self._quorum.record_answer(received.number, peer, received.ready):
             self.counts["late answer ignored"] += 1
             return []
-        # One that is itself cut off may be behind: its version is a lower
-        # bound for a daemon that has one, and tells a starting one nothing.
+        # A peer that is not ready may be behind: its version is a lower bound
+        # for a daemon that has one, and of no use to one that is starting.
         if received.version and (received.ready or self.version):
             return self._set_target(received.version, received.hash, peer, now)
         return []
--- a/wigeonhitch/configuration/document.py
+++ b/wigeonhitch/configuration/document.py
@@ -1,10 +1,11 @@
-"""The fleet document: what operators intend, as typed records.
+"""The fleet document, which describes the intended fleet, as typed records.
 
-The records are validated whole by pydantic: unknown keys are refused and all
-errors come back at once, each with its place. Cross-references (a pool names
-a kind, a service names a pool) are checked in `wigeonhitch.configuration.check`.
+The records are validated by pydantic: unknown keys are refused, and all errors
+are returned at once, each with its location. Cross-references (a pool names a
+kind, a service names a pool) are checked in
+`wigeonhitch.configuration.references`.
 
-Every time is in seconds, memory in GB, and shares lie between 0 and 1.
+Times are in seconds, memory is in GB, and shares lie between 0 and 1.
 """
 
 from typing import Annotated, Literal, NamedTuple
@@ -63,7 +64,7 @@
 class Pool(NamedTuple):
     """A group of VMs of one kind.
 
-    ``spread`` names the failure domain over which VMs are spread evenly.
+    ``spread`` is the kind of failure domain over which VMs are spread evenly.
     """
 
     name: Name
@@ -81,9 +82,9 @@
     name : str
         ``"urgent"`` is served before every other class.
     deadline : float
-        Seconds in which a request or job must finish unless it says otherwise.
+        Seconds within which a request or job must finish, by default.
     start_within : float
-        Seconds in which it must start.
+        Seconds within which it must start.
     """
 
     name: Name
--- a/wigeonhitch/configuration/message.py
+++ b/wigeonhitch/configuration/message.py
@@ -1,7 +1,7 @@
-"""Messages between daemons about versions, and events and actions of the core.
+"""Messages between daemons about versions; events and actions of `distribution`.
 
-A message is encoded as JSON, so that the peer connection carries it as opaque
-bytes. A document travels as its canonical text.
+A message is encoded as JSON, which the peer connection carries as opaque bytes.
+A document is sent as its canonical text.
 """
 
 import json
@@ -32,20 +32,20 @@
 
 
 class Tell(NamedTuple):
-    """A version is in force."""
+    """Notification that a version is in force."""
 
     version: int
     hash: str
 
 
 class Ask(NamedTuple):
-    """Which version do you have? ``number`` comes back in the answer."""
+    """Question for the peer's version; the answer repeats ``number``."""
 
     number: int
 
 
 class Answer(NamedTuple):
-    """Answer to `Ask`; ``ready`` when the sender vouches for its version."""
+    """Answer to `Ask`; ``ready`` tells whether the sender is ready to serve."""
 
     number: int
     version: int
@@ -54,7 +54,7 @@
 
 
 class Want(NamedTuple):
-    """Send me the document with this hash."""
+    """Request for the document with a content hash."""
 
     hash: str
 
@@ -73,13 +73,13 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as bytes."""
+    """Encode a message."""
     body = {"kind": type(message).__name__} | message._asdict()
     return json.dumps(body, separators=(",", ":")).encode("utf-8")
 
 
 def decode(data: bytes) -> Message | None:
-    """Return the message that the bytes hold, or None when they hold none.
+    """Decode a message; return None when the bytes are not a valid one.
 
     Examples
     --------
@@ -102,17 +102,18 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Periodic event without content."""
 
 
 class Polled(NamedTuple):
-    """The signal row was read, or not.
+    """Outcome of a read of the signal row.
 
     Parameters
     ----------
     started : float
-        When the read was begun: what it shows is at least that recent. The
-        time of its arrival would count a pause of this process as news.
+        Time at which the read began; what it shows is at least that recent.
+        After a pause of this process, the time of arrival would make an old
+        answer look recent.
     signal : int or None
         Version of the signal row; None when the store did not answer.
     """
@@ -122,9 +123,10 @@
 
 
 class CurrentRead(NamedTuple):
-    """The row of the version in force was read; ``version`` None when not.
+    """Outcome of a read of the row of the version in force.
 
-    ``signal`` is the version of the signal row read along with it.
+    ``version`` is None when the store did not answer; ``signal`` is the version
+    of the signal row, read in the same call.
     """
 
     started: float
@@ -134,21 +136,21 @@
 
 
 class Fetched(NamedTuple):
-    """A document came from the store or a peer; ``data`` None when not."""
+    """Outcome of a fetch from the store or a peer; ``data`` is None on failure."""
 
     hash: str
     data: bytes | None
 
 
 class Received(NamedTuple):
-    """A peer's message."""
+    """A message from a peer."""
 
     peer: str
     message: Message
 
 
 class PeersChanged(NamedTuple):
-    """The peers that may be asked and told."""
+    """The peers that may be asked and notified."""
 
     peers: tuple[str, ...]
 
@@ -171,7 +173,7 @@
 
 
 class SendPeer(NamedTuple):
-    """Send a message to a peer; it may be lost."""
+    """Send a message to a peer, without a guarantee of delivery."""
 
     peer: str
     message: Message
--- a/wigeonhitch/configuration/problem.py
+++ b/wigeonhitch/configuration/problem.py
@@ -1,11 +1,11 @@
-"""A fault found in a fleet document, with its place."""
+"""A problem found in a document or a settings file, with its location."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
 __all__ = ["Problem", "format_place", "format_problem"]
 
-# Longest text of an offending value that is repeated in a message.
+# Maximum length of an invalid value that a message repeats, in characters.
 MAX_VALUE_CHARACTERS = 80
 
 UNITS = {
@@ -26,16 +26,17 @@
 
 
 class Problem(NamedTuple):
-    """One fault of a document.
+    """One problem of a document.
 
     Parameters
     ----------
     place : str
-        Such as ``pools[2].must_be_up.share``; empty for the whole document.
+        Location such as ``pools[2].must_be_up.share``; empty for the whole
+        document.
     value : object
-        The value found there; None when it is missing.
+        The invalid value; None when it is missing.
     expected : str
-        What would have been right.
+        Description of a valid value.
     unit : str
         Unit of the value; empty when it has none.
     """
@@ -47,7 +48,7 @@
 
 
 def format_place(parts: Sequence[str | int]) -> str:
-    """Return the place of a value as text.
+    """Return the location of a value as text.
 
     Examples
     --------
@@ -66,14 +67,14 @@
 
 
 def find_unit(parts: Sequence[str | int]) -> str:
-    """Return the unit of the value at a place; empty when it has none."""
+    """Return the unit of the value at a location; empty when it has none."""
     if not parts or len(parts) == 1 or isinstance(parts[-1], int):
         return ""
     return UNITS.get(str(parts[-1]), "")
 
 
 def format_problem(problem: Problem) -> str:
-    """Return one line for people."""
+    """Return a problem as one human-readable line."""
     value = repr(problem.value)
     if len(value) > MAX_VALUE_CHARACTERS:
         value = value[:MAX_VALUE_CHARACTERS] + "..."
--- a/wigeonhitch/configuration/proposal.py
+++ b/wigeonhitch/configuration/proposal.py
@@ -1,8 +1,8 @@
 """Rows of the platform's table that acceptance reads and writes.
 
-`Current` is the one row that decides which version is in force. A `Proposal`
-is one submission under its id, for good: the row is what makes asking again
-with the same id safe.
+`Current` is the row that determines the version in force. A `Proposal` is one
+submission; its row is kept under the submission's id for good, which makes a
+retry with the same id safe.
 """
 
 import enum
@@ -36,7 +36,7 @@
 
 
 class State(enum.Enum):
-    """State of a proposal; only ``WAITING`` can change."""
+    """State of a proposal; only ``WAITING`` is not final."""
 
     WAITING = "waiting"
     ACCEPTED = "accepted"
@@ -44,9 +44,9 @@
 
 
 class Current(NamedTuple):
-    """The version in force; ``version`` 0 means that there is none yet.
+    """The version in force; ``version`` is 0 before the first.
 
-    ``row`` is the version of the table row, for conditions.
+    ``row`` is the version of the table row, used in conditions.
     """
 
     version: int = 0
@@ -57,7 +57,7 @@
 
     @property
     def condition(self) -> table.Condition:
-        """Return the condition that this version is still in force."""
+        """Condition that this version is still in force."""
         return table.Condition(CURRENT, self.row)
 
 
@@ -67,25 +67,25 @@
     Parameters
     ----------
     id : str
-        Submission id, chosen by the operator's program.
+        Submission id, chosen by the operator's client.
     base : int
-        Version in force that the document was written against.
+        Version in force that the document is based on.
     hash : str
         Content hash of the proposed document.
     author : str
         Operator who submitted it.
     note : str
-        Why, for people.
+        The author's reason for the change.
     needs : tuple of approval.Need
-        Approvals that the rules in force at ``base`` ask for.
+        Approvals that the rules in force at ``base`` require.
     given : tuple of approval.Given
-        Approvals so far.
+        Approvals given so far.
     state : State
-        What became of it.
+        State of the proposal.
     version : int
-        Version that it became when accepted.
+        The version assigned when it was accepted.
     submitted, decided : float
-        In the table's clock, seconds since the Unix epoch.
+        Times by the table's clock, seconds since the Unix epoch.
     decider, reason : str
         Who accepted or rejected it, and why it was rejected.
     row : int
@@ -109,30 +109,30 @@
 
     @property
     def condition(self) -> table.Condition:
-        """Return the condition that nobody changed the proposal."""
+        """Condition that the proposal's row is unchanged."""
         return table.Condition(get_proposal_key(self.id), self.row)
 
     @property
     def missing(self) -> tuple[approval.Need, ...]:
-        """Return the approvals still missing."""
+        """Approvals still missing."""
         return approval.list_missing(
             self.needs, self.given, self.author, self.hash, self.base
         )
 
 
 def is_submission_id(text: str) -> bool:
-    """Return whether a text may be a submission id."""
+    """Return whether a text is a valid submission id."""
     return ID_PATTERN.fullmatch(text) is not None
 
 
 def get_object_name(content_hash: str) -> str:
-    """Return the object name of a document by its content hash."""
+    """Return the name under which a document is in the object store."""
     return f"configuration/{content_hash}"
 
 
-def get_proposal_key(submission: str) -> str:
+def get_proposal_key(submission_id: str) -> str:
     """Return the row key of a proposal."""
-    return f"{PROPOSALS}{submission}"
+    return f"{PROPOSALS}{submission_id}"
 
 
 def get_version_key(version: int) -> str:
@@ -166,12 +166,12 @@
 
 
 def read_need(value: Mapping[str, Any]) -> approval.Need:
-    """Return a need from its plain form."""
+    """Return a required approval from its stored form."""
     return approval.Need(value["change"], value["approvals"], tuple(value["roles"]))
 
 
 def read_given(value: Mapping[str, Any]) -> approval.Given:
-    """Return an approval from its plain form."""
+    """Return a given approval from its stored form."""
     return approval.Given(
         value["operator"],
         tuple(value["roles"]),
--- a/wigeonhitch/configuration/quorum.py
+++ b/wigeonhitch/configuration/quorum.py
@@ -1,16 +1,15 @@
-"""Whether this daemon hears most of its peers while the store is silent.
+"""Quorum of peers that lets a daemon serve while the store does not answer.
 
-Load: a store outage of minutes, with daemons that are paused, replaced or cut
-off meanwhile. Harm prevented: a daemon on the wrong side of a partition that
-takes the silence of the store for an outage and goes on under a version that
-others have replaced.
+Made for store outages of minutes, during which daemons may be paused, replaced
+or cut off. A daemon that a partition separates from the store must not take
+this for an outage and go on under a version that others have replaced.
 
-- An answer counts as of the time of its question. It may have lain in a
-  buffer while this process was paused, and would pass old news for fresh.
-- Only a peer that is itself ready counts. One that has just started knows
-  nothing, and one that is cut off may be behind.
-- A majority of this daemon and the peers it asked is needed, so that of two
-  parts that do not hear each other at most one goes on.
+- An answer counts as of the time of its question. It may have been buffered
+  while this process was paused and be out of date.
+- Only the answer of a ready peer counts. A peer that has just started knows no
+  version, and one that is cut off may be behind.
+- A majority of this daemon and the peers that it asked is needed, so that at
+  most one side of a partition goes on.
 """
 
 from typing import NamedTuple
@@ -19,7 +18,7 @@
 
 
 class Question(NamedTuple):
-    """A question to a peer; ``answered`` once a ready peer has answered."""
+    """A question to a peer; ``answered`` is set by the answer of a ready peer."""
 
     peer: str
     asked: float
@@ -27,14 +26,14 @@
 
 
 class PeerQuorum:
-    """Questions of the last seconds and their answers.
+    """Recent questions to peers and their answers.
 
     Parameters
     ----------
-    span : float
+    max_age : float
         Seconds for which a question counts.
-    patience : float
-        Seconds after which an unanswered question counts against the peer.
+    timeout : float
+        Seconds after which an unanswered question counts against the quorum.
     """
 
     def __init__(self, max_age: float, timeout: float) -> None:
@@ -44,7 +43,7 @@
         self._questions: dict[int, Question] = {}
 
     def add_question(self, peer: str, now: float) -> int:
-        """Note a question to a peer; return its number."""
+        """Record a question to a peer and return its number."""
         oldest = now - self.max_age
         expired = [
             number
@@ -58,7 +57,7 @@
         return self._number
 
     def record_answer(self, number: int, peer: str, ready: bool) -> bool:
-        """Note an answer; return False when nothing was asked or it lapsed."""
+        """Record an answer; return False if its question is unknown or expired."""
         question = self._questions.get(number)
         if question is None or question.peer != peer:
             return False
@@ -66,10 +65,10 @@
         return True
 
     def has_quorum(self, now: float) -> bool:
-        """Return whether a majority of those asked is ready, this one included.
+        """Return whether a majority is ready, counting this daemon and those asked.
 
-        A daemon that is alone never hears most: without a store it cannot know
-        whether it is alone or cut off.
+        A daemon without any answer never has a quorum: without the store it
+        cannot tell whether it is the only one or cut off.
         """
         asked = set()
         answered = set()
--- a/wigeonhitch/configuration/references.py
+++ b/wigeonhitch/configuration/references.py
@@ -1,4 +1,4 @@
-"""What a well-formed document must also satisfy: names, sizes and windows."""
+"""Checks of a well-formed document: names, references, sizes and windows."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -20,7 +20,7 @@
 
 
 def compute_required_up(pool: document.Pool) -> int:
-    """Return how many VMs of a pool must be up; a share is rounded up.
+    """Return the number of VMs of a pool that must be up; a share is rounded up.
 
     Examples
     --------
@@ -36,7 +36,7 @@
 
 
 def check_references(intended: document.Document) -> list[problem.Problem]:
-    """Return every problem of a document whose shape is right."""
+    """Return all problems of a document that conforms to the schema."""
     problems = list(check_names(intended))
     problems += check_pools(intended)
     problems += check_services(intended)
@@ -47,7 +47,7 @@
 
 
 def check_names(intended: document.Document) -> Iterable[problem.Problem]:
-    """Find names given twice in a section, and sections that may not be empty."""
+    """Find duplicate names, and empty sections that must not be empty."""
     for section in NAMED_SECTIONS:
         seen_names = set()
         for index, item in enumerate(getattr(intended, section)):
@@ -62,7 +62,7 @@
 
 
 def check_pools(intended: document.Document) -> Iterable[problem.Problem]:
-    """Find unknown kinds and budgets that cannot be kept."""
+    """Find unknown kinds and invalid budgets."""
     kinds = [kind.name for kind in intended.kinds]
     in_waves = {name for wave in intended.waves for name in wave.pools}
     for index, pool in enumerate(intended.pools):
@@ -75,10 +75,10 @@
 def check_budget(
     pool: document.Pool, place: tuple, in_wave: bool
 ) -> Iterable[problem.Problem]:
-    """Find a budget that is not one of number and share, or too large.
+    """Find a budget that is too large, or not exactly one of number and share.
 
-    A pool that a wave visits must be able to spare one VM, else the wave
-    could never begin and would wait until its window had passed.
+    A pool in a wave must be able to spare one VM, or the wave could never stop
+    one and would wait until its window had passed.
     """
     budget = pool.must_be_up
     if (budget.number is None) == (budget.share is None):
@@ -100,7 +100,7 @@
 
 
 def check_services(intended: document.Document) -> Iterable[problem.Problem]:
-    """Find services on unknown pools or of unknown classes."""
+    """Find services with an unknown pool or urgency."""
     pools = [pool.name for pool in intended.pools]
     urgencies = [urgency.name for urgency in intended.urgencies]
     for index, service in enumerate(intended.services):
@@ -114,7 +114,7 @@
 
 
 def check_waves(intended: document.Document) -> Iterable[problem.Problem]:
-    """Find waves on unknown pools, on no pool, or with an empty window."""
+    """Find waves with unknown, repeated or no pools, or with an empty window."""
     pools = [pool.name for pool in intended.pools]
     for index, wave in enumerate(intended.waves):
         place = ("waves", index)
@@ -134,7 +134,7 @@
 
 
 def check_approvals(intended: document.Document) -> Iterable[problem.Problem]:
-    """Find approval rules that nobody could satisfy or that change nothing."""
+    """Find approval rules without roles or with the role ``viewer``."""
     for index, rule in enumerate(intended.approvals):
         place = ("approvals", index, "roles")
         if rule.approvals > 0 and not rule.roles:
@@ -147,7 +147,7 @@
 
 
 def check_urgencies(intended: document.Document) -> Iterable[problem.Problem]:
-    """Find classes whose work would have to finish before it starts."""
+    """Find urgencies whose time to start exceeds their deadline."""
     for index, urgency in enumerate(intended.urgencies):
         if urgency.start_within > urgency.deadline:
             expected = f"at most the deadline {urgency.deadline}"
@@ -156,13 +156,13 @@
 
 
 def build_problem(parts: tuple, value: Any, expected: str) -> problem.Problem:
-    """Return the problem at a place."""
+    """Return a problem with the unit of its location."""
     place = problem.format_place(parts)
     return problem.Problem(place, value, expected, problem.find_unit(parts))
 
 
 def list_choices(names: Sequence[str]) -> str:
-    """Return the wording for a choice among known names."""
+    """Return the text that lists the valid names."""
     if not names:
         return "a known name, but none is defined"
     return "one of " + ", ".join(names)
--- a/wigeonhitch/configuration/schema.py
+++ b/wigeonhitch/configuration/schema.py
@@ -1,9 +1,9 @@
 """JSON Schema of the fleet document, with records as objects.
 
 The schema is built from the annotations, so that it does not depend on how a
-release of the validation library renders a ``NamedTuple``. It serves programs
-that write documents, and tells `wigeonhitch.configuration.check` where only
-an object will do.
+release of the validation library renders a ``NamedTuple``. It is published for
+programs that write documents, and `wigeonhitch.configuration.check` uses it to
+find lists given in place of objects.
 """
 
 import functools
@@ -33,7 +33,7 @@
 
 
 def describe_record(record: Any) -> dict[str, Any]:
-    """Return the JSON Schema of a record: an object without further keys."""
+    """Return the JSON Schema of a record: an object without additional keys."""
     hints = typing.get_type_hints(record, include_extras=True)
     properties = {name: describe(hints[name]) for name in record._fields}
     for name, default in record._field_defaults.items():
@@ -60,10 +60,10 @@
 def find_misplaced_lists(
     schema: dict[str, Any], data: Any, parts: tuple
 ) -> list[tuple]:
-    """Return the places where a list stands for an object.
+    """Return the locations of lists given in place of objects.
 
-    The validation library takes a list as the fields in order, which would
-    let a document depend on the order of fields.
+    The validation library accepts a list as the fields in order, so that a
+    document would depend on the order of fields.
     """
     if schema.get("type") == "object":
         if isinstance(data, list):
--- a/wigeonhitch/configuration/store.py
+++ b/wigeonhitch/configuration/store.py
@@ -1,9 +1,8 @@
-"""Submit, approve, reject and read documents in the platform's store.
+"""Submission, approval, rejection and reading of documents in the store.
 
-The document goes into the object store under its content hash before any row
-names it, so a version in force always has its content. Every request ends in
-an `acceptance.Result`; a store that is down or an answer that is lost is one
-of its sentinels.
+A document is written to the object store under its content hash before any row
+refers to it, so the content of a version in force always exists. Every request
+returns an `acceptance.Result`, also when the store is down or an answer lost.
 """
 
 import collections
@@ -26,33 +25,33 @@
 
 PURPOSE = "configuration"
 
-# Tries of one request. A race among a handful of operators is settled within
-# two or three; more tries would only hold an operator longer than the ten
-# seconds after which a console gives up.
+# Attempts per request. A race among a handful of operators is settled within
+# two or three; more attempts would take longer than the ten seconds after which
+# an operator's client gives up.
 MAX_ATTEMPTS = 5
-# Pause between tries, seconds; grows with the try.
+# Pause before the second attempt; it grows linearly with each further one.
 RETRY_PAUSE_SECONDS = 0.2
 
-# Documents kept by hash: the one in force and those being discussed. At the
-# target a document takes about 1 MB as records, so eight stay small.
+# Documents cached by hash: the one in force and those proposed. A document of
+# the target size takes about 1 MB as records, so that eight take little memory.
 MAX_CACHED_DOCUMENTS = 8
 
 
 class Submission(NamedTuple):
-    """A document that an operator submits.
+    """A document submitted by an operator.
 
     Parameters
     ----------
     id : str
-        Chosen by the operator's program; the same id asks again.
+        Chosen by the operator's client; a retry repeats it.
     base : int
-        Version that the document was written against; 0 before the first.
+        Version that the document is based on; 0 before the first.
     intended : document.Document
         The checked document.
     author : str
-        Who submits it.
+        Name of the operator.
     note : str
-        Why, for people.
+        The author's reason for the change.
     """
 
     id: str
@@ -65,8 +64,8 @@
 class Accepted(NamedTuple):
     """An accepted version with its document.
 
-    ``outcome`` tells whether the store answered; ``intended`` is None when
-    there is no such version or its content could not be read.
+    ``outcome`` tells whether the store answered; ``intended`` is None when the
+    version does not exist or its content could not be read.
     """
 
     outcome: table.Outcome
@@ -76,7 +75,7 @@
 
 
 class Listing(NamedTuple):
-    """Rows as read, or the reason why not."""
+    """Rows read from the table, or the reason why they could not be read."""
 
     outcome: table.Outcome
     rows: tuple[table.Row, ...] = ()
@@ -85,7 +84,7 @@
 
 
 class State(NamedTuple):
-    """What one read found."""
+    """The version in force and one proposal, as read together."""
 
     outcome: table.Outcome
     current: proposal.Current = proposal.Current()
@@ -94,11 +93,11 @@
 
 
 def ignore_accepted(version: int, content_hash: str, data: bytes) -> None:
-    """Take no note of an accepted version."""
+    """Ignore an accepted version; the default for ``on_accepted``."""
 
 
 class Store:
-    """Operators' requests about documents, carried out on the platform.
+    """Handles operators' requests about documents on the platform's store.
 
     Parameters
     ----------
@@ -107,11 +106,11 @@
     objects : table.ObjectStore
         The platform's object store.
     sleep : callable
-        Waits so many seconds between tries.
+        Waits a number of seconds between attempts.
     on_accepted : callable
-        Called with version, hash and content when a commit from here put a
-        version in force. Should the store go down right after, this daemon
-        is the only one that knows; it must pass the news on.
+        Called with version, hash and content when a commit of this instance put
+        a version in force. If the store goes down right afterwards, only this
+        daemon knows of the version and must notify its peers.
     """
 
     def __init__(
@@ -130,13 +129,13 @@
         )
 
     async def submit(self, submission: Submission) -> acceptance.Result:
-        """Submit a document; asking again with the same id is safe.
+        """Submit a document; a retry with the same id is safe.
 
         Returns
         -------
         acceptance.Result
             ``UNKNOWN`` means that the submission may be stored or in force;
-            ask again with the same id. ``STORE_DOWN`` means that it is not.
+            retry with the same id. ``STORE_DOWN`` means that it is neither.
         """
         data = canonical.encode(submission.intended)
         content_hash = canonical.hash_bytes(data)
@@ -156,70 +155,79 @@
             current = state.current
             if state.stored is not None or current.version != submission.base:
                 return True
-            before = await self.load_document(current.hash) if current.version else None
-            if current.version and before is None:
+            in_force = (
+                await self.load_document(current.hash) if current.version else None
+            )
+            if current.version and in_force is None:
                 return False
-            needs = approval.find_needs(before, submission.intended)
+            needs = approval.find_needs(in_force, submission.intended)
             needs_by_version[current.version] = needs
             return True
 
         def decide(state: State) -> acceptance.Result | acceptance.Commit:
             needs = needs_by_version.get(state.current.version, ())
-            timed_submission = submitted._replace(needs=needs, submitted=state.time)
+            stamped_submission = submitted._replace(needs=needs, submitted=state.time)
             return acceptance.decide_submission(
-                state.current, state.stored, timed_submission
+                state.current, state.stored, stamped_submission
             )
 
         return await self.commit_decision(submission.id, decide, prepare)
 
     async def approve(
-        self, submission: str, operator: str, roles: frozenset[str], content_hash: str
+        self,
+        submission_id: str,
+        operator: str,
+        roles: frozenset[str],
+        content_hash: str,
     ) -> acceptance.Result:
         """Approve the content of a proposal on the version it is based on."""
 
         def decide(state: State) -> acceptance.Result | acceptance.Commit:
             base = state.stored.base if state.stored else 0
-            ordered = tuple(sorted(roles))
-            given = approval.Given(operator, ordered, content_hash, base, state.time)
-            return acceptance.decide_approval(state.current, state.stored, given)
+            sorted_roles = tuple(sorted(roles))
+            new_approval = approval.Given(
+                operator, sorted_roles, content_hash, base, state.time
+            )
+            return acceptance.decide_approval(state.current, state.stored, new_approval)
 
         async def prepare(state: State) -> bool:
-            # Held before the commit, so that it can be passed on after it.
+            # Loaded before the commit, so that peers can be given it afterwards
+            # even if the store goes down.
             if state.stored is None or state.stored.hash != content_hash:
                 return True
             return await self.load_document(content_hash) is not None
 
-        return await self.commit_decision(submission, decide, prepare)
+        return await self.commit_decision(submission_id, decide, prepare)
 
     async def reject(
-        self, submission: str, operator: str, reason: str
+        self, submission_id: str, operator: str, reason: str
     ) -> acceptance.Result:
-        """Reject a waiting proposal for good."""
+        """Reject a waiting proposal; this is final."""
 
         def decide(state: State) -> acceptance.Result | acceptance.Commit:
             return acceptance.decide_rejection(
                 state.current, state.stored, operator, reason, state.time
             )
 
-        return await self.commit_decision(submission, decide)
+        return await self.commit_decision(submission_id, decide)
 
     async def commit_decision(
         self,
-        submission: str,
+        submission_id: str,
         decide: Callable[[State], acceptance.Result | acceptance.Commit],
         prepare: Callable | None = None,
     ) -> acceptance.Result:
         """Read, decide and commit until there is a result.
 
-        A commit whose answer was lost is read back by the submission's id
-        before anything else is tried. Until a read settles it the result can
-        only be ``UNKNOWN``: the lost commit may yet take effect.
+        After a commit whose answer was lost, the next attempt first reads the
+        proposal by its id. Without such a read the result is ``UNKNOWN``, since
+        the commit may still take effect.
         """
         outcome_unknown = False
         for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 await self.sleep(RETRY_PAUSE_SECONDS * attempt)
-            state = await self.read_state(submission)
+            state = await self.read_state(submission_id)
             if state.outcome is not table.Outcome.DONE:
                 continue
             if prepare is not None and not await prepare(state):
@@ -227,21 +235,21 @@
             decision = decide(state)
             if isinstance(decision, acceptance.Result):
                 return decision
-            committed = await self.rows.commit(
+            commit_result = await self.rows.commit(
                 decision.conditions, decision.writes, purpose=PURPOSE
             )
-            if committed.outcome is table.Outcome.DONE:
+            if commit_result.outcome is table.Outcome.DONE:
                 await self.notify_accepted(decision.result)
                 return decision.result
             outcome_unknown = (
-                outcome_unknown or committed.outcome is table.Outcome.UNKNOWN
+                outcome_unknown or commit_result.outcome is table.Outcome.UNKNOWN
             )
         if outcome_unknown:
             return acceptance.Result(acceptance.Status.UNKNOWN)
         return acceptance.Result(acceptance.Status.STORE_DOWN)
 
     async def notify_accepted(self, result: acceptance.Result) -> None:
-        """Tell this daemon of a version that it put in force."""
+        """Call ``on_accepted`` if the result put a version in force."""
         if result.status is not acceptance.Status.ACCEPTED or result.stored is None:
             return
         intended = await self.load_document(result.stored.hash)
@@ -249,9 +257,9 @@
             data = canonical.encode(intended)
             self.on_accepted(result.version, result.stored.hash, data)
 
-    async def read_state(self, submission: str) -> State:
+    async def read_state(self, submission_id: str) -> State:
         """Read the version in force and one proposal."""
-        keys = (proposal.CURRENT, proposal.get_proposal_key(submission))
+        keys = (proposal.CURRENT, proposal.get_proposal_key(submission_id))
         answer = await self.rows.read(keys, purpose=PURPOSE)
         if answer.outcome is not table.Outcome.DONE:
             return State(answer.outcome)
@@ -260,7 +268,7 @@
         return State(answer.outcome, current, stored, answer.time)
 
     async def put_document(self, content_hash: str, data: bytes) -> bool:
-        """Store a document; storing the same content again is harmless."""
+        """Write a document to the object store; this is idempotent."""
         name = proposal.get_object_name(content_hash)
         for attempt in range(MAX_ATTEMPTS):
             outcome = await self.objects.put(name, data, purpose=PURPOSE)
@@ -270,7 +278,7 @@
         return False
 
     async def load_document(self, content_hash: str) -> document.Document | None:
-        """Return the document of a content hash, or None if unreadable."""
+        """Return the document with a content hash, or None if unreadable."""
         if content_hash in self.cached_documents:
             self.cached_documents.move_to_end(content_hash)
             return self.cached_documents[content_hash]
@@ -284,7 +292,7 @@
         return intended
 
     def cache_document(self, content_hash: str, intended: document.Document) -> None:
-        """Keep a document for a while."""
+        """Cache a document and evict the least recently used ones."""
         self.cached_documents[content_hash] = intended
         while len(self.cached_documents) > MAX_CACHED_DOCUMENTS:
             self.cached_documents.popitem(last=False)
--- a/wigeonhitch/configuration/tests/conftest.py
+++ b/wigeonhitch/configuration/tests/conftest.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def plain():
-    """Altiplano's fleet as plain data, free to be changed."""
+    """Altiplano's fleet as decoded data that a test may change."""
     return yaml.safe_load((EXAMPLES / "altiplano.yaml").read_text())
 
 
--- a/wigeonhitch/configuration/tests/test_acceptance.py
+++ b/wigeonhitch/configuration/tests/test_acceptance.py
@@ -1,4 +1,7 @@
-"""Racing operators, lost and late commits: one winner, no version doubled."""
+"""Tests of concurrent operators, and of commits that are lost or delayed.
+
+Each version has exactly one submission, and no submission becomes two versions.
+"""
 
 import types
 
@@ -36,7 +39,7 @@
 
 @types.coroutine
 def suspend():
-    """Suspend until the machine takes the next step."""
+    """Suspend until the state machine takes the next step."""
     yield
 
 
@@ -55,11 +58,11 @@
 
 
 async def skip_sleep(seconds):
-    """Sleep no time."""
+    """Return at once."""
 
 
 class RacingConsolesMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Operators submit, approve and reject through consoles that race."""
+    """Operators submit, approve and reject concurrently through four daemons."""
 
     def __init__(self):
         super().__init__()
@@ -233,7 +236,7 @@
 
 
 def read_rows(rows, prefix):
-    """Return the present rows under a prefix, without the client."""
+    """Return the existing rows under a prefix, read without a client."""
     return {
         row.key: dict(row.value)
         for row in rows.scan(prefix, 0)
@@ -256,16 +259,16 @@
 
 @pytest.fixture
 def consoles():
-    """Two consoles on one platform, with a waiting submission by o0."""
+    """Two stores on one platform, with a waiting submission by o0."""
     platform = fake.Fake()
-    pair = []
+    stores = []
     for name in ("d0", "d1"):
         client = SteppingClient(platform.build_client(name))
-        pair.append(store.Store(client, client, skip_sleep))
-    submit(pair[0], "first", 0, BASE._replace(approvals=()))
-    submit(pair[0], "rules", 1, BASE)
-    submit(pair[0], "s", 2)
-    return pair
+        stores.append(store.Store(client, client, skip_sleep))
+    submit(stores[0], "first", 0, BASE._replace(approvals=()))
+    submit(stores[0], "rules", 1, BASE)
+    submit(stores[0], "s", 2)
+    return stores
 
 
 CHANGED = BASE._replace(weights=document.Weights(moves=2.0))
@@ -279,7 +282,7 @@
 
 
 def run_call(call, steps=None):
-    """Run a call to its end, or so many steps of it."""
+    """Run a call to its end, or for a number of steps."""
     try:
         while steps != 0:
             call.send(None)
@@ -293,13 +296,13 @@
     return console.approve("s", who, OWNER, CONTENT)
 
 
-def test_approvals_that_race_are_both_kept(consoles):
+def test_concurrent_approvals_are_both_kept(consoles):
     suspended_call = run_call(approve(consoles[0], "o1"), 2)
     assert run_call(approve(consoles[1], "o2")).status is Status.WAITING
     assert run_call(suspended_call).status is Status.ACCEPTED
 
 
-def test_rejection_wins_over_an_approval_that_was_under_way(consoles):
+def test_rejection_wins_over_a_concurrent_approval(consoles):
     run_call(approve(consoles[1], "o1"))
     suspended_call = run_call(approve(consoles[0], "o2"), 2)
     assert run_call(consoles[1].reject("s", "o3", "no")).status is Status.REJECTED
@@ -307,14 +310,14 @@
     assert run_call(consoles[0].read_document()).version == 2
 
 
-def test_acceptance_wins_over_a_rejection_that_was_under_way(consoles):
+def test_acceptance_wins_over_a_concurrent_rejection(consoles):
     run_call(approve(consoles[1], "o1"))
     suspended_call = run_call(consoles[0].reject("s", "o3", "no"), 2)
     assert run_call(approve(consoles[1], "o2")).version == 3
     assert run_call(suspended_call).status is Status.ACCEPTED
 
 
-def test_repeated_submission_does_not_undo_a_rejection(consoles):
+def test_retried_submission_does_not_undo_a_rejection(consoles):
     submission = store.Submission("u", 2, CHANGED, "o0")
     suspended_call = run_call(consoles[0].submit(submission), 3)
     assert submit(consoles[1], "u", 2).status is Status.WAITING
@@ -322,7 +325,7 @@
     assert run_call(suspended_call).status is Status.REJECTED
 
 
-def test_approvals_count_for_one_content_base_and_operator():
+def test_approvals_count_per_content_base_and_operator():
     need = approval.Need("any", 2, ("owner", "auditor"))
     valid_approval = approval.Given("ben", ("owner",), "h", 1)
 
@@ -340,7 +343,7 @@
         assert count(valid_approval, other) == 1
 
 
-def test_looser_rules_are_judged_by_the_present_ones():
+def test_change_of_rules_is_checked_against_the_rules_in_force():
     loose = BASE._replace(approvals=())
     strict = BASE._replace(approvals=(document.Approval("approvals", 1, ("owner",)),))
     assert approval.find_needs(strict, loose)
--- a/wigeonhitch/configuration/tests/test_check.py
+++ b/wigeonhitch/configuration/tests/test_check.py
@@ -16,7 +16,7 @@
     assert check.load_canonical(canonical.encode(checked.intended)) == checked.intended
 
 
-def test_all_problems_come_at_once_with_place_value_and_unit(plain):
+def test_all_problems_are_reported_with_place_value_and_unit(plain):
     plain["kinds"][0]["memory"] = "64"
     plain["pools"][2]["must_be_up"] = {"share": 1.5}
     plain["pools"][1]["sise"] = 6
@@ -66,13 +66,13 @@
     "text",
     ["fleet: a\nfleet: b", "a: &x [1]\nb: *x", "[", "a: " + "[" * 5000, "1", "{1: 2}"],
 )
-def test_text_that_is_no_document_is_refused(text):
+def test_text_that_is_not_a_document_is_refused(text):
     checked = check.check_text(text)
     assert checked.intended is None
     assert checked.problems
 
 
-def test_schema_shows_records_as_objects():
+def test_schema_describes_records_as_objects():
     json_schema = schema.build_schema()
     pool = json_schema["properties"]["pools"]["items"]
     assert pool["type"] == "object"
@@ -80,7 +80,7 @@
     assert pool["required"] == ["name", "kind", "size", "must_be_up"]
 
 
-def test_equal_meaning_has_equal_hash(plain, altiplano):
+def test_equivalent_documents_have_the_same_encoding(plain, altiplano):
     plain["kinds"][0]["cores"] = 32.0
     reordered = check.check_plain(dict(reversed(plain.items()))).intended
     assert canonical.encode(reordered) == canonical.encode(altiplano)
--- a/wigeonhitch/configuration/tests/test_distribution.py
+++ b/wigeonhitch/configuration/tests/test_distribution.py
@@ -1,4 +1,7 @@
-"""Versions on three daemons: monotonic, of the right content, never stale."""
+"""Tests of distribution over three daemons.
+
+Versions never decrease and have the right content, and no ready daemon is stale.
+"""
 
 import random
 
@@ -24,7 +27,7 @@
 
 
 def make_document_data(number):
-    """Return the canonical bytes of one of many valid documents."""
+    """Return the canonical bytes of a valid document, different for each number."""
     plain = {
         "fleet": f"f{number}",
         "data_centres": [{"name": "a", "region": "r"}],
@@ -42,7 +45,7 @@
 
 
 class SimulatedNet:
-    """A store, three daemons, and everything that is under way between them."""
+    """A store, three daemons, and the actions in flight between them."""
 
     def __init__(self):
         self.now = 100.0
@@ -69,7 +72,7 @@
         self.deliver(name, message.Fetched(HASHES[version], DATA[version]))
 
     def is_stale(self, name):
-        """Return whether a daemon could know better, or is cut off from knowing."""
+        """Return whether a newer version is reachable, or exists beyond a partition."""
         version = self.cores[name].version
         if name in self.partitioned or (
             self.store_up and name not in self.without_store
@@ -88,7 +91,7 @@
                 self.stale_since.pop(name, None)
 
     def start(self, name):
-        self.in_flight = [item for item in self.in_flight if item[0] != name]
+        self.in_flight = [entry for entry in self.in_flight if entry[0] != name]
         core = distribution.Distribution(LIMITS, random.Random(name))
         peers = tuple(other for other in NAMES if other != name)
         core.handle(message.PeersChanged(peers), self.now)
@@ -125,7 +128,7 @@
                     self.deliver(action.peer, message.Received(name, action.message))
 
     def run_for(self, seconds):
-        """Let time pass with everything carried out at once, in order."""
+        """Advance the clock, completing all actions at once and in order."""
         end = self.now + seconds
         while self.now < end:
             for name in NAMES:
@@ -143,7 +146,7 @@
 
 
 class DistributionMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Messages in any order, lost, late; daemons restarted, paused, cut off."""
+    """Messages are reordered, lost or delayed; daemons restart, pause, are cut off."""
 
     def __init__(self):
         super().__init__()
@@ -196,7 +199,7 @@
             self.highest_versions[name] = 0
 
     @hypothesis.stateful.invariant()
-    def versions_only_rise_and_match(self):
+    def check_versions_never_decrease_and_match(self):
         for name, core in self.net.cores.items():
             assert core.version >= self.highest_versions[name], "a daemon went back"
             assert core.version <= self.net.version
@@ -205,7 +208,7 @@
                 assert core.data == DATA[core.version], "content is not the hash's"
 
     @hypothesis.stateful.invariant()
-    def ready_daemons_are_not_stale(self):
+    def check_ready_daemons_are_not_stale(self):
         self.net.record_staleness()
         for name, since in self.net.stale_since.items():
             if self.net.now - since > 2 * LIMITS.max_staleness:
@@ -228,7 +231,7 @@
 
 @pytest.fixture
 def net():
-    """Three daemons that have version 1 in force."""
+    """Three daemons with version 1 in force."""
     net = SimulatedNet()
     net.accept()
     net.run_for(3.0)
@@ -240,13 +243,13 @@
     return [core.version for core in net.cores.values()]
 
 
-def test_outage_keeps_daemons_that_hear_each_other_ready(net):
+def test_connected_daemons_stay_ready_in_a_store_outage(net):
     net.store_up = False
     net.run_for(60.0)
     assert net.readiness() == [Readiness.READY] * 3
 
 
-def test_daemon_that_starts_in_an_outage_asks_peers(net):
+def test_daemon_started_in_an_outage_gets_the_version_from_peers(net):
     net.store_up = False
     net.run_for(20.0)
     net.start("a")
@@ -256,7 +259,7 @@
     assert net.readiness() == [Readiness.READY] * 3
 
 
-def test_all_restarted_in_an_outage_are_not_ready_until_it_ends(net):
+def test_daemons_all_restarted_in_an_outage_are_not_ready_until_it_ends(net):
     net.store_up = False
     for name in NAMES:
         net.start(name)
@@ -267,7 +270,7 @@
     assert versions(net) == [1, 1, 1]
 
 
-def test_cut_off_daemon_stops_and_its_old_version_does_not_spread(net):
+def test_partitioned_daemon_stops_serving_and_its_old_version_does_not_spread(net):
     net.partitioned = {"a"}
     net.run_for(7.0)
     assert net.cores["a"].readiness(net.now) is Readiness.CUT_OFF
@@ -289,7 +292,7 @@
     assert versions(net) == [2, 2, 2]
 
 
-def test_daemon_that_hears_only_peers_follows_them(net):
+def test_daemon_without_store_follows_its_peers(net):
     net.without_store = {"a"}
     net.accept()
     net.run_for(3.0)
@@ -298,14 +301,16 @@
     assert net.readiness() == [Readiness.READY] * 3
 
 
-def test_paused_daemon_does_not_take_buffered_answers_for_news(net):
+def test_paused_daemon_does_not_treat_buffered_answers_as_recent(net):
     core = net.cores["a"]
     net.store_up = False
     net.run_for(5.0)
     net.tick("a")
     for _ in range(len(net.in_flight)):
         net.complete_action(0)
-    answers = [item for item in net.in_flight if isinstance(item[1], message.SendPeer)]
+    answers = [
+        entry for entry in net.in_flight if isinstance(entry[1], message.SendPeer)
+    ]
     assert answers
     net.now += 30.0
     while net.in_flight:
@@ -313,7 +318,7 @@
     assert core.readiness(net.now) is Readiness.CUT_OFF
 
 
-def test_majority_is_needed_of_those_asked():
+def test_quorum_needs_a_majority_of_the_peers_asked():
     peer_quorum = quorum.PeerQuorum(6.0, 1.0)
     numbers = [peer_quorum.add_question(peer, 0.0) for peer in "bcde"]
     peer_quorum.record_answer(numbers[0], "b", True)
@@ -324,16 +329,16 @@
     assert not peer_quorum.has_quorum(6.1)
 
 
-def test_fetch_without_answer_is_tried_elsewhere(net):
+def test_unanswered_fetch_is_retried_from_another_source(net):
     core = net.cores["a"]
     tell = message.Received("b", message.Tell(2, HASHES[2]))
-    first = core.handle(tell, net.now)
-    assert first == [message.FetchObject(HASHES[2])]
-    again = core.handle(message.Tick(), net.now + LIMITS.fetch_retry_interval)
-    assert message.SendPeer("b", message.Want(HASHES[2])) in again
+    first_actions = core.handle(tell, net.now)
+    assert first_actions == [message.FetchObject(HASHES[2])]
+    retry_actions = core.handle(message.Tick(), net.now + LIMITS.fetch_retry_interval)
+    assert message.SendPeer("b", message.Want(HASHES[2])) in retry_actions
 
 
-def test_paused_daemon_does_not_take_an_old_poll_for_news(net):
+def test_paused_daemon_does_not_treat_an_old_poll_as_recent(net):
     net.now += 1.5
     net.tick("a")
     net.now += 30.0
@@ -342,7 +347,7 @@
 
 
 @pytest.mark.parametrize("without_store", [set(), {"a"}])
-def test_daemon_that_cannot_fetch_a_version_stops(net, without_store):
+def test_daemon_that_cannot_fetch_a_version_becomes_not_ready(net, without_store):
     net.without_store = without_store
     core = net.cores["a"]
     core.handle(message.Received("b", message.Tell(2, "0" * 64)), net.now)
@@ -352,7 +357,7 @@
     assert core.readiness(net.now) is Readiness.BEHIND
 
 
-def test_content_that_does_not_match_is_not_taken(net):
+def test_content_that_does_not_match_its_hash_is_refused(net):
     net.accept()
     core = net.cores["a"]
     core.handle(message.Received("b", message.Tell(2, HASHES[2])), net.now)
@@ -361,7 +366,7 @@
     assert core.counts["content does not match its hash"] == 1
 
 
-def test_store_that_was_set_back_is_not_followed(net):
+def test_store_restored_to_an_older_version_is_not_followed(net):
     net.accept()
     net.run_for(3.0)
     net.accepted.pop()
@@ -372,7 +377,7 @@
 @pytest.mark.parametrize(
     "data", [b"", b"[]", b"{}", b'{"kind": "Tell"}', b'{"kind": "Ask", "number": "1"}']
 )
-def test_message_that_cannot_be_read_is_dropped(data):
+def test_undecodable_message_is_dropped(data):
     assert message.decode(data) is None
 
 
@@ -391,8 +396,8 @@
         install=lambda version, intended: installed.append((version, intended)),
         on_fleet_change=fleet.append,
     )
-    free = altiplano._replace(approvals=())
-    await documents.submit(store.Submission("s", 0, free, "ana"))
+    without_rules = altiplano._replace(approvals=())
+    await documents.submit(store.Submission("s", 0, without_rules, "ana"))
     write = watcher.table.Write(watcher.FLEET_SIGNAL, {})
     condition = watcher.table.Condition(watcher.FLEET_SIGNAL, 0)
     await platform.table.commit([condition], [write], purpose="test")
@@ -401,6 +406,6 @@
         while not installed:
             await watcher.anyio.lowlevel.checkpoint()
         tasks.cancel_scope.cancel()
-    assert installed == [(1, free)]
+    assert installed == [(1, without_rules)]
     assert len(fleet) == 1
     assert watcher_task.readiness is Readiness.READY
--- a/wigeonhitch/configuration/tests/test_store.py
+++ b/wigeonhitch/configuration/tests/test_store.py
@@ -11,7 +11,7 @@
 
 
 async def accept_document(documents, intended, id, base):
-    """Put a document in force with every approval it needs."""
+    """Put a document in force with all required approvals."""
     result = await documents.submit(submission(intended, id, base))
     if result.status is Status.WAITING:
         content_hash = result.stored.hash
@@ -22,13 +22,13 @@
 
 
 async def test_first_document_follows_its_own_rules(documents, altiplano):
-    free = altiplano._replace(approvals=())
+    without_rules = altiplano._replace(approvals=())
     waiting = await documents.submit(submission(altiplano))
     assert waiting.status is Status.WAITING
-    accepted = await documents.submit(submission(free, "s2"))
+    accepted = await documents.submit(submission(without_rules, "s2"))
     assert (accepted.status, accepted.version) == (Status.ACCEPTED, 1)
     accepted = await documents.read_document()
-    assert accepted.intended == free
+    assert accepted.intended == without_rules
 
 
 async def test_approval_by_author_or_wrong_role_or_of_other_content(
@@ -39,15 +39,21 @@
     roles = frozenset({"operations", "owner"})
     own = await documents.approve("s1", "ana", roles, content_hash)
     assert own.status is Status.OWN
-    clerk = await documents.approve("s1", "ben", frozenset({"clerk"}), content_hash)
-    assert clerk.status is Status.NO_ROLE
-    other = await documents.approve("s1", "ben", roles, "0" * 64)
-    assert other.status is Status.OTHER_CONTENT
-    half = await documents.approve("s1", "ben", frozenset({"operations"}), content_hash)
-    assert half.status is Status.WAITING
-    assert [need.change for need in half.stored.missing] == ["approvals"]
-    whole = await documents.approve("s1", "eva", frozenset({"owner"}), content_hash)
-    assert (whole.status, whole.version) == (Status.ACCEPTED, 1)
+    wrong_role = await documents.approve(
+        "s1", "ben", frozenset({"clerk"}), content_hash
+    )
+    assert wrong_role.status is Status.NO_ROLE
+    other_content = await documents.approve("s1", "ben", roles, "0" * 64)
+    assert other_content.status is Status.OTHER_CONTENT
+    first_approval = await documents.approve(
+        "s1", "ben", frozenset({"operations"}), content_hash
+    )
+    assert first_approval.status is Status.WAITING
+    assert [need.change for need in first_approval.stored.missing] == ["approvals"]
+    second_approval = await documents.approve(
+        "s1", "eva", frozenset({"owner"}), content_hash
+    )
+    assert (second_approval.status, second_approval.version) == (Status.ACCEPTED, 1)
 
 
 async def test_conflict_names_the_version_to_rebase_on(documents, altiplano):
@@ -58,15 +64,15 @@
     )
     assert waiting.status is Status.WAITING
     assert await accept_document(documents, changed, "s3", 1) == 2
-    late = await documents.submit(submission(altiplano, "s4", 1))
-    assert (late.status, late.version) == (Status.CONFLICT, 2)
+    late_submission = await documents.submit(submission(altiplano, "s4", 1))
+    assert (late_submission.status, late_submission.version) == (Status.CONFLICT, 2)
     lapsed = await documents.approve(
         "s2", "ben", frozenset({"operations"}), waiting.stored.hash
     )
     assert (lapsed.status, lapsed.version) == (Status.CONFLICT, 2)
 
 
-async def test_undo_is_a_new_version(documents, altiplano):
+async def test_restored_document_becomes_a_new_version(documents, altiplano):
     await accept_document(documents, altiplano, "s1", 0)
     changed = altiplano._replace(weights=altiplano.weights._replace(moves=2.0))
     await accept_document(documents, changed, "s2", 1)
@@ -77,20 +83,22 @@
     assert history.rows[0].value["hash"] == history.rows[2].value["hash"]
 
 
-async def test_lost_answer_is_read_back(platform, documents, altiplano):
-    free = altiplano._replace(approvals=())
+async def test_retry_after_a_lost_answer_returns_the_result(
+    platform, documents, altiplano
+):
+    without_rules = altiplano._replace(approvals=())
     platform.switch(lose={"prefix": "/table/commit", "every": 1})
-    first = await documents.submit(submission(free))
+    first = await documents.submit(submission(without_rules))
     assert first.status in (Status.ACCEPTED, Status.UNKNOWN, Status.STORE_DOWN)
     platform.switch(lose=None)
-    again = await documents.submit(submission(free))
+    again = await documents.submit(submission(without_rules))
     assert (again.status, again.version) == (Status.ACCEPTED, 1)
-    other = altiplano._replace(approvals=(), fleet="other")
-    reused = await documents.submit(submission(other))
+    other_content = altiplano._replace(approvals=(), fleet="other")
+    reused = await documents.submit(submission(other_content))
     assert reused.status is Status.REUSED
 
 
-async def test_store_down_says_not_done(platform, documents, altiplano):
+async def test_store_down_is_reported_as_not_done(platform, documents, altiplano):
     platform.switch(down=True)
     result = await documents.submit(submission(altiplano))
     assert result.status is Status.STORE_DOWN
@@ -103,22 +111,22 @@
     assert canonical.hash_bytes(canonical.encode(accepted.intended)) == accepted.hash
 
 
-async def test_daemon_that_accepts_learns_it_with_the_content(platform, altiplano):
-    noted = []
+async def test_accepting_daemon_is_notified_with_the_content(platform, altiplano):
+    notifications = []
     documents = store.Store(
         platform.table,
         platform.objects,
-        on_accepted=lambda *news: noted.append(news),
+        on_accepted=lambda *arguments: notifications.append(arguments),
     )
     await documents.submit(submission(altiplano))
-    assert noted == []
-    other = store.Store(
+    assert notifications == []
+    other_store = store.Store(
         platform.table,
         platform.objects,
-        on_accepted=lambda *news: noted.append(news),
+        on_accepted=lambda *arguments: notifications.append(arguments),
     )
     data = canonical.encode(altiplano)
     content_hash = canonical.hash_bytes(data)
     roles = frozenset({"operations", "owner"})
-    await other.approve("s1", "ben", roles, content_hash)
-    assert noted == [(1, content_hash, data)]
+    await other_store.approve("s1", "ben", roles, content_hash)
+    assert notifications == [(1, content_hash, data)]
--- a/wigeonhitch/configuration/watcher.py
+++ b/wigeonhitch/configuration/watcher.py
@@ -1,7 +1,7 @@
 """Task that keeps the version in force on one daemon up to date.
 
-One task owns the state; reads and sends run beside it and report back as
-events, so a slow store never delays a peer's news.
+One task owns the state. Reads and sends run in tasks of their own and report
+back as events, so that a slow store does not delay messages from peers.
 """
 
 from collections.abc import Callable
@@ -25,41 +25,41 @@
 FLEET_SIGNAL = "signal/fleet"
 SIGNALS = (proposal.SIGNAL, FLEET_SIGNAL)
 
-# Events that wait at most. Peers send a few a second; beyond that they are
-# dropped and counted, since every one of them is repeated or polled for.
+# Maximum number of queued events. Peers send a few a second. Events beyond the
+# limit are dropped and counted: each is sent again, or polling replaces it.
 MAX_QUEUED_EVENTS = 256
 
-# Shortest sleep between two ticks, seconds.
+# Minimum sleep between two ticks.
 MIN_WAIT_SECONDS = 0.01
 
 
 class Peers(Protocol):
-    """Carries messages to other daemons, at most once and without promise."""
+    """Sends messages to other daemons, at most once and without guarantee."""
 
     async def send(self, peer: str, data: bytes) -> None:
-        """Send to one peer; a failure is not reported."""
+        """Send to one peer; failures are not reported."""
         ...
 
 
 class Watcher:
-    """Runs one `distribution.Distribution`.
+    """Runs a `distribution.Distribution`.
 
     Parameters
     ----------
     core : distribution.Distribution
-        The decisions.
+        The state machine that decides.
     rows : table.Table
         The platform's table.
     objects : table.ObjectStore
         The platform's object store.
     peers : Peers
-        Carries messages to other daemons.
+        Sends messages to other daemons.
     clock : callable
-        Seconds on the clock that counts suspension.
+        Returns seconds by a clock that includes time in suspension.
     install : callable
         Called with version and document whenever a version comes into force.
     on_fleet_change : callable
-        Called with the version of the row ``signal/fleet`` when it moves.
+        Called with the version of the row ``signal/fleet`` when it increases.
     """
 
     def __init__(
@@ -89,26 +89,26 @@
 
     @property
     def readiness(self) -> distribution.Readiness:
-        """Whether this daemon may serve at this moment."""
+        """Whether this daemon may serve now."""
         return self.core.readiness(self.clock())
 
     def receive(self, peer: str, data: bytes) -> None:
-        """Take a message that a peer sent."""
+        """Queue a message from a peer; one that cannot be decoded is dropped."""
         received = message.decode(data)
         if received is not None:
             self.enqueue(message.Received(peer, received))
 
     def set_peers(self, peers: tuple[str, ...]) -> None:
-        """Take the present peers, without this daemon."""
+        """Set the current peers, which exclude this daemon."""
         self.enqueue(message.PeersChanged(peers))
 
     def handle_accepted(self, version: int, content_hash: str, data: bytes) -> None:
-        """Take a version that this daemon itself put in force, and its content."""
+        """Queue a version that this daemon itself put in force, and its content."""
         self.enqueue(message.Received("", message.Tell(version, content_hash)))
         self.enqueue(message.Fetched(content_hash, data))
 
     def enqueue(self, event: message.Event) -> None:
-        """Queue an event; drop it when too many wait."""
+        """Queue an event, or drop and count it when the queue is full."""
         try:
             self._send.send_nowait(event)
         except anyio.WouldBlock:
@@ -121,7 +121,7 @@
                 await self._step(tasks)
 
     async def _step(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Wait for one event or the next tick and carry out what follows."""
+        """Wait for an event or the next tick, and start the resulting actions."""
         now = self.clock()
         wait = max(self.core.next_wake(now) - now, MIN_WAIT_SECONDS)
         event: message.Event = message.Tick()
@@ -129,7 +129,7 @@
             event = await self._receive.receive()
         actions = self.core.handle(event, self.clock())
         if not isinstance(event, message.Tick):
-            # Under a stream of events the ticks must not starve.
+            # A steady stream of events must not starve the ticks.
             actions += self.core.handle(message.Tick(), self.clock())
         for action in actions:
             self._start_action(action, tasks)
@@ -183,7 +183,7 @@
         await self._send.send(message.Fetched(content_hash, data))
 
     def _log_readiness(self) -> None:
-        """Log a change of readiness, once."""
+        """Log each change of readiness once."""
         readiness = self.readiness
         if readiness is not self._logged_readiness:
             log.log_change("document state", state=readiness.value)
