--- a/wigeonhitch/operators/__init__.py
+++ b/wigeonhitch/operators/__init__.py
@@ -1,7 +1,7 @@
-"""Operators: their credentials, roles and the HTTP routes they use.
+"""Operators' credentials and roles, and the HTTP routes that they use.
 
-Public: `credential` checks who asks, `route` is what a slice offers, `service`
-serves all routes as an ASGI application.
+Public: `credential` authenticates operators, `route` holds the records by which
+a slice defines its routes, `service` serves all routes as an ASGI application.
 """
 
 __all__ = ["credential", "route", "service"]
--- a/wigeonhitch/operators/credential.py
+++ b/wigeonhitch/operators/credential.py
@@ -1,7 +1,7 @@
-"""Operators' credentials: salted hashes in the settings, checked per request.
+"""Operators' credentials: salted hashes in the settings, verified per request.
 
 A credential is ``Authorization: Bearer name:secret``. The settings hold only
-a scrypt hash of the secret, so reading the settings does not give access.
+a scrypt hash of the secret, so that reading the settings does not give access.
 """
 
 import collections
@@ -13,36 +13,36 @@
 
 __all__ = ["Credentials", "Operator", "Refusal", "hash_secret", "make_operator"]
 
-# scrypt: 16 MB and some 25 ms of one core for each check of a secret; makes a
-# stolen settings file expensive to search.
+# scrypt parameters: each check of a secret takes 16 MB and some 25 ms of one
+# core, which makes a brute-force search of a stolen settings file expensive.
 SCRYPT_COST = 2**14
-SCRYPT_BLOCK = 8
+SCRYPT_BLOCK_SIZE = 8
 SALT_BYTES = 16
 
-# Checked secrets kept, so that a console that asks every second pays for
-# scrypt once in a lifetime (seconds) of the entry.
-KEPT = 256
-LIFETIME = 300.0
+# Cache of verified secrets, so that a client that polls every second pays for
+# scrypt once per lifetime of the entry.
+MAX_CACHED_SECRETS = 256
+CACHE_LIFETIME_SECONDS = 300.0
 
-# Wrong secrets of one name within the span (seconds) after which further ones
-# are refused unread. Five a minute stop guessing; an operator who mistypes
-# waits a minute, and secrets checked already keep working meanwhile.
-WRONG_TRIES = 5
-WRONG_SPAN = 60.0
+# Wrong secrets for one name within the window, after which further ones are
+# refused without being verified. Five a minute prevent guessing. An operator who
+# mistypes waits a minute; secrets verified before keep working meanwhile.
+MAX_WRONG_SECRETS = 5
+WRONG_SECRETS_WINDOW_SECONDS = 60.0
 
-# Longest credential that is read, characters.
-LONGEST = 512
+# Maximum length of an ``Authorization`` header that is accepted.
+MAX_HEADER_CHARACTERS = 512
 
 
 class Operator(NamedTuple):
-    """One operator of the settings.
+    """An operator as defined in the settings.
 
     Parameters
     ----------
     name : str
-        Who it is; appears as author and approver.
+        Name shown as author and approver.
     roles : tuple of str
-        Roles for approval rules; ``viewer`` alone may change nothing.
+        Roles for approval rules; the role ``viewer`` alone allows no changes.
     salt, hash : str
         Hexadecimal salt and scrypt hash of the secret.
     """
@@ -59,111 +59,114 @@
 
 
 class Refusal(enum.Enum):
-    """Why a credential was not taken."""
+    """Reason for which a credential is refused."""
 
     MISSING = "no credential: send Authorization: Bearer name:secret"
     WRONG = "unknown operator or wrong secret"
-    TOO_MANY = "too many wrong secrets; come back in a minute"
+    RATE_LIMITED = "too many wrong secrets; come back in a minute"
 
 
 def hash_secret(secret: str, salt: str) -> str:
-    """Return the scrypt hash of a secret, hexadecimal."""
+    """Return the scrypt hash of a secret in hexadecimal."""
     digest = hashlib.scrypt(
         secret.encode("utf-8"),
         salt=bytes.fromhex(salt),
         n=SCRYPT_COST,
-        r=SCRYPT_BLOCK,
+        r=SCRYPT_BLOCK_SIZE,
         p=1,
     )
     return digest.hex()
 
 
 def make_operator(name: str, roles: tuple[str, ...], secret: str) -> Operator:
-    """Return the settings entry of an operator, with a fresh salt."""
+    """Return the settings entry of an operator, with a new salt."""
     salt = os.urandom(SALT_BYTES).hex()
     return Operator(name, roles, salt, hash_secret(secret, salt))
 
 
 class Credentials:
-    """Checks credentials against the operators of the settings.
+    """Verifies credentials against the operators of the settings.
 
     Parameters
     ----------
     operators : tuple of Operator
-        From the settings.
+        The operators of the settings.
     """
 
     def __init__(self, operators: tuple[Operator, ...]) -> None:
         self.operators = {operator.name: operator for operator in operators}
-        self.key = os.urandom(SALT_BYTES)
-        self.checked: collections.OrderedDict[bytes, float] = collections.OrderedDict()
-        self.wrong: dict[str, collections.deque[float]] = {}
-        # Same cost for a name that is not known as for a wrong secret.
-        self.nobody = Operator("", (), "00" * SALT_BYTES, "00")
-
-    def recall(self, header: str, now: float) -> Operator | Refusal | None:
-        """Return what is known without hashing; None when `verify` must say.
+        self.cache_key_secret = os.urandom(SALT_BYTES)
+        self.verified_until: collections.OrderedDict[bytes, float] = (
+            collections.OrderedDict()
+        )
+        self.failure_times: dict[str, collections.deque[float]] = {}
+        # An unknown name costs the same time as a wrong secret, so that timing
+        # does not reveal which names exist.
+        self.unknown_operator = Operator("", (), "00" * SALT_BYTES, "00")
+
+    def check_cached(self, header: str, now: float) -> Operator | Refusal | None:
+        """Return the outcome that needs no hashing, or None if `verify` must decide.
 
         Parameters
         ----------
         header : str
             The ``Authorization`` header.
         now : float
-            Seconds on any steady clock.
+            Seconds by a monotonic clock.
         """
         parsed = parse_header(header)
         if parsed is None:
             return Refusal.MISSING
         name, _ = parsed
-        digest = self.digest(header)
-        if now < self.checked.get(digest, 0.0):
+        cache_key = self.get_cache_key(header)
+        if now < self.verified_until.get(cache_key, 0.0):
             return self.operators[name]
-        if self.is_blocked(self.name_bucket(name), now):
-            return Refusal.TOO_MANY
+        if self.is_blocked(self.get_failure_bucket(name), now):
+            return Refusal.RATE_LIMITED
         return None
 
     def verify(self, header: str, now: float) -> Operator | Refusal:
-        """Check a credential by hashing its secret; takes some 25 ms."""
-        known = self.recall(header, now)
-        if known is not None:
-            return known
+        """Verify a credential by hashing its secret, which takes some 25 ms."""
+        cached = self.check_cached(header, now)
+        if cached is not None:
+            return cached
         name, secret = parse_header(header) or ("", "")
-        operator = self.operators.get(name, self.nobody)
-        found = hash_secret(secret, operator.salt)
-        if not hmac.compare_digest(found, operator.hash):
-            self.wrong.setdefault(self.name_bucket(name), collections.deque()).append(
-                now
-            )
+        operator = self.operators.get(name, self.unknown_operator)
+        computed_hash = hash_secret(secret, operator.salt)
+        if not hmac.compare_digest(computed_hash, operator.hash):
+            self.failure_times.setdefault(
+                self.get_failure_bucket(name), collections.deque()
+            ).append(now)
             return Refusal.WRONG
-        self.checked[self.digest(header)] = now + LIFETIME
-        while len(self.checked) > KEPT:
-            self.checked.popitem(last=False)
+        self.verified_until[self.get_cache_key(header)] = now + CACHE_LIFETIME_SECONDS
+        while len(self.verified_until) > MAX_CACHED_SECRETS:
+            self.verified_until.popitem(last=False)
         return operator
 
-    def digest(self, header: str) -> bytes:
-        """Return the key under which a checked credential is kept."""
-        return hmac.digest(self.key, header.encode("utf-8"), "sha256")
+    def get_cache_key(self, header: str) -> bytes:
+        """Return the key under which a verified credential is cached."""
+        return hmac.digest(self.cache_key_secret, header.encode("utf-8"), "sha256")
 
-    def name_bucket(self, name: str) -> str:
-        """Return whose wrong tries count together; unknown names share one."""
+    def get_failure_bucket(self, name: str) -> str:
+        """Return the name for which failures count; unknown names share one."""
         return name if name in self.operators else ""
 
     def is_blocked(self, bucket: str, now: float) -> bool:
-        """Return whether too many wrong secrets were tried of late."""
-        tries = self.wrong.get(bucket)
-        if not tries:
+        """Return whether there were too many wrong secrets within the window."""
+        times = self.failure_times.get(bucket)
+        if not times:
             return False
-        while tries and now - tries[0] >= WRONG_SPAN:
-            tries.popleft()
-        return len(tries) >= WRONG_TRIES
+        while times and now - times[0] >= WRONG_SECRETS_WINDOW_SECONDS:
+            times.popleft()
+        return len(times) >= MAX_WRONG_SECRETS
 
 
 def parse_header(header: str) -> tuple[str, str] | None:
-    """Return name and secret of an ``Authorization`` header, or None."""
+    """Return the name and secret of an ``Authorization`` header, or None."""
     scheme, _, value = header.strip().partition(" ")
     name, colon, secret = value.strip().partition(":")
     if scheme.lower() != "bearer" or not colon or not name or not secret:
         return None
-    if len(header) > LONGEST:
+    if len(header) > MAX_HEADER_CHARACTERS:
         return None
     return name, secret
--- a/wigeonhitch/operators/route.py
+++ b/wigeonhitch/operators/route.py
@@ -1,7 +1,7 @@
-"""Routes of the operator interface, offered by each slice, served by the daemon.
+"""Records of the operators' HTTP routes, which each slice defines.
 
-All paths lie below ``/operator/v1``. The daemon authenticates the request
-before it calls a handler; a handler sees who asks and with which roles.
+All paths are below ``/operator/v1``. The daemon authenticates a request before
+it calls the handler, which receives the operator's name and roles.
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -11,7 +11,7 @@
 
 
 class Request(NamedTuple):
-    """One authenticated request of an operator.
+    """An authenticated request from an operator.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     roles : frozenset of str
         Roles that the settings give this operator.
     path : mapping of str to str
-        Values of the ``{names}`` in the route's path.
+        Values of the ``{name}`` parameters in the route's path.
     query : mapping of str to str
         The last value of each query parameter.
     body : object
@@ -35,12 +35,12 @@
 
 
 class Answer(NamedTuple):
-    """Status and JSON body.
+    """Status code and JSON body.
 
-    Status codes mean the same on every route: 200 done, 202 accepted and going
-    on, 400 bad input, 403 refused by role, 404 unknown name, 409 conflict, 503
-    not done because the store is unreachable (come back), 504 unknown whether
-    done (ask again with the same submission id).
+    Status codes mean the same on every route: 200 done, 202 accepted and in
+    progress, 400 invalid input, 403 not allowed for the role, 404 unknown name,
+    409 conflict, 503 not done because the store is unreachable (retry later),
+    504 unknown whether done (retry with the same submission id).
     """
 
     status: int
@@ -48,12 +48,12 @@
 
 
 class Route(NamedTuple):
-    """One route; ``path`` such as ``"/pools/{pool}"``.
+    """A route with a path such as ``"/pools/{pool}"``.
 
-    ``changes`` is true for routes that need a credential with a changing role.
+    ``is_mutating`` is true for routes that require a role that may change something.
     """
 
     method: str
     path: str
-    changes: bool
+    is_mutating: bool
     handler: Callable[[Request], Awaitable[Answer]]
--- a/wigeonhitch/operators/service.py
+++ b/wigeonhitch/operators/service.py
@@ -1,7 +1,7 @@
 """ASGI application that serves the operators' routes below ``/operator/v1``.
 
-Every request carries a credential. JSON in, JSON out; an error is a JSON
-object with ``status`` and ``reason`` too.
+Every request needs a credential. Bodies are JSON; an error is a JSON object
+with ``status`` and ``reason``.
 """
 
 import collections
@@ -20,17 +20,17 @@
 from wigeonhitch.operators import credential, route
 from wigeonhitch.telemetry import log
 
-__all__ = ["LARGEST_BODY", "PREFIX", "OperatorService", "make_app"]
+__all__ = ["MAX_BODY_BYTES", "PREFIX", "OperatorService", "make_app"]
 
 PREFIX = "/operator/v1"
 
-# Largest request body, bytes: a document at the target takes some 80 kB; the
-# limit bounds what one request can make a daemon hold.
-LARGEST_BODY = 1_000_000
+# Maximum size of a request body. A document of the target size takes some 80 kB;
+# the limit bounds the memory that one request can take.
+MAX_BODY_BYTES = 1_000_000
 
-# Secrets hashed at once: one, so that guessing costs a daemon at most one
-# core and 16 MB.
-HASHED_AT_ONCE = 1
+# Secrets hashed concurrently: one, so that guessing takes at most one core and
+# 16 MB of a daemon.
+MAX_CONCURRENT_HASHES = 1
 
 
 def make_app(
@@ -45,15 +45,15 @@
     routes : sequence of route.Route
         Routes of all slices.
     credentials : credential.Credentials
-        Who may ask.
+        Credentials of the operators.
     clock : callable
-        Seconds on a steady clock.
+        Returns seconds by a monotonic clock.
     """
     return OperatorService(routes, credentials, clock)
 
 
 class OperatorService:
-    """The application; ``counts`` has the answers by status code."""
+    """The ASGI application; ``counts`` has the number of answers by status code."""
 
     def __init__(
         self,
@@ -61,15 +61,17 @@
         credentials: credential.Credentials,
         clock: Callable[[], float],
     ) -> None:
-        self.routes = [(compile_path(one.path), one) for one in routes]
+        self.routes = [
+            (compile_path(candidate.path), candidate) for candidate in routes
+        ]
         self.credentials = credentials
         self.clock = clock
         self.counts: collections.Counter[int] = collections.Counter()
 
     @functools.cached_property
-    def hashing(self) -> anyio.CapacityLimiter:
-        """Limit of threads that hash secrets, made inside the event loop."""
-        return anyio.CapacityLimiter(HASHED_AT_ONCE)
+    def hash_limiter(self) -> anyio.CapacityLimiter:
+        """Limiter of threads that hash secrets, created inside the event loop."""
+        return anyio.CapacityLimiter(MAX_CONCURRENT_HASHES)
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serve one HTTP request; other ASGI scopes are ignored."""
@@ -91,73 +93,86 @@
     async def handle(self, scope: Any, receive: Any) -> route.Answer:
         """Authenticate, find the route, read the body and call the handler.
 
-        The credential is checked first, so that nobody without one learns
-        which paths exist or makes the daemon read a body.
+        The credential is verified first, so that a client without one can neither
+        learn which paths exist nor make the daemon read a body.
         """
         operator = await self.authenticate(scope)
         if isinstance(operator, credential.Refusal):
-            too_many = operator is credential.Refusal.TOO_MANY
-            return fail(429 if too_many else 401, operator.value)
-        found = self.find_route(scope)
-        if isinstance(found, route.Answer):
-            return found
-        wanted, path = found
-        if wanted.changes and not operator.may_change:
-            return fail(403, f"{operator.name} may look but not change anything")
-        body = await asgi.read_body(receive, LARGEST_BODY)
+            rate_limited = operator is credential.Refusal.RATE_LIMITED
+            return build_error(429 if rate_limited else 401, operator.value)
+        matched = self.find_route(scope)
+        if isinstance(matched, route.Answer):
+            return matched
+        matched_route, path = matched
+        if matched_route.is_mutating and not operator.may_change:
+            return build_error(403, f"{operator.name} may look but not change anything")
+        body = await asgi.read_body(receive, MAX_BODY_BYTES)
         if body is None:
-            return fail(413, f"body is over {LARGEST_BODY} bytes")
+            return build_error(413, f"body is over {MAX_BODY_BYTES} bytes")
         try:
             decoded = json.loads(body) if body else None
         except (ValueError, RecursionError) as error:
-            return fail(400, f"body: expected JSON: {error}")
+            return build_error(400, f"body: expected JSON: {error}")
         query = dict(urllib.parse.parse_qsl(scope["query_string"].decode("latin-1")))
         roles = frozenset(operator.roles)
         request = route.Request(operator.name, roles, path, query, decoded)
-        return await call_handler(wanted, request)
+        return await call_handler(matched_route, request)
 
     async def authenticate(
         self, scope: Any
     ) -> credential.Operator | credential.Refusal:
-        """Return who asks, or why the credential is refused."""
+        """Return the operator, or the reason for which the credential is refused."""
         header = find_header(scope, b"authorization")
-        known = self.credentials.recall(header, self.clock())
-        if known is not None:
-            return known
-        async with self.hashing:
+        cached = self.credentials.check_cached(header, self.clock())
+        if cached is not None:
+            return cached
+        async with self.hash_limiter:
             verify = functools.partial(self.credentials.verify, header, self.clock())
             return await anyio.to_thread.run_sync(verify)
 
     def find_route(
         self, scope: Any
     ) -> tuple[route.Route, dict[str, str]] | route.Answer:
-        """Return the route and the values in its path, or 404 or 405."""
+        """Return the route and its path parameters, or the answer 404 or 405."""
         path = scope["path"].removeprefix(PREFIX)
         allowed = set()
-        for pattern, one in self.routes:
+        for pattern, candidate in self.routes:
             match = pattern.fullmatch(path)
-            if match and one.method == scope["method"]:
-                return one, match.groupdict()
+            if match and candidate.method == scope["method"]:
+                return candidate, match.groupdict()
             if match:
-                allowed.add(one.method)
+                allowed.add(candidate.method)
         if allowed:
-            return fail(405, f"{scope['method']}: expected {' or '.join(allowed)}")
-        return fail(404, f"no such path: {scope['path']}")
+            return build_error(
+                405, f"{scope['method']}: expected {' or '.join(allowed)}"
+            )
+        return build_error(404, f"no such path: {scope['path']}")
+
 
+async def call_handler(
+    matched_route: route.Route, request: route.Request
+) -> route.Answer:
+    """Call a handler, and answer 500 or, for a change, 504 if it raises.
 
-async def call_handler(wanted: route.Route, request: route.Request) -> route.Answer:
-    """Call a handler; a fault in it never shows as success or as "not done"."""
+    After an exception it is unknown whether a change was done.
+    """
     try:
-        return await wanted.handler(request)
+        return await matched_route.handler(request)
     except Exception:
-        log.log_fault("a route failed", method=wanted.method, path=wanted.path)
-        if wanted.changes:
-            return fail(504, "the daemon failed; unknown whether anything was done")
-        return fail(500, "the daemon failed")
+        log.log_fault(
+            "request handler failed",
+            method=matched_route.method,
+            path=matched_route.path,
+        )
+        if matched_route.is_mutating:
+            return build_error(
+                504, "the daemon failed; unknown whether anything was done"
+            )
+        return build_error(500, "the daemon failed")
 
 
 def find_header(scope: Any, name: bytes) -> str:
-    """Return a header's value, or nothing."""
+    """Return a header's value, or an empty string."""
     for key, value in scope["headers"]:
         if key.lower() == name:
             return value.decode("utf-8", errors="replace")
@@ -165,7 +180,7 @@
 
 
 def compile_path(path: str) -> re.Pattern[str]:
-    """Return the pattern of a path with ``{names}``."""
+    """Return the pattern that matches a path with ``{name}`` parameters."""
     parts = re.split(r"\{(\w+)\}", path)
     pattern = ""
     for index, part in enumerate(parts):
@@ -173,6 +188,6 @@
     return re.compile(pattern)
 
 
-def fail(status: int, reason: str) -> route.Answer:
+def build_error(status: int, reason: str) -> route.Answer:
     """Return an error answer."""
     return route.Answer(status, {"status": status, "reason": reason})
--- a/wigeonhitch/operators/tests/conftest.py
+++ b/wigeonhitch/operators/tests/conftest.py
@@ -20,15 +20,15 @@
 
 
 @pytest.fixture
-def seen():
-    """Requests that reached a handler."""
+def handled_requests():
+    """Requests received by a handler."""
     return []
 
 
 @pytest.fixture
-def app(credentials, seen):
+def app(credentials, handled_requests):
     async def handle(request):
-        seen.append(request)
+        handled_requests.append(request)
         if request.query.get("fail"):
             raise ValueError("fault in a handler")
         return route.Answer(200, {"path": dict(request.path), "body": request.body})
--- a/wigeonhitch/settings/__init__.py
+++ b/wigeonhitch/settings/__init__.py
@@ -1,6 +1,6 @@
-"""Settings of a daemon: YAML, checked whole before anything opens.
+"""Settings of a daemon in YAML, validated before any listener is opened.
 
-Public: `load` reads and checks a file, `schema` holds the typed records.
+Public: `load` reads and validates a file, `schema` holds the typed records.
 """
 
 __all__ = ["load", "schema"]
--- a/wigeonhitch/settings/load.py
+++ b/wigeonhitch/settings/load.py
@@ -1,4 +1,4 @@
-"""Reading and checking a settings file whole: every error at once."""
+"""Reading and validation of a settings file; all problems are reported at once."""
 
 import os
 import pathlib
@@ -44,7 +44,7 @@
 
 
 class Loaded(NamedTuple):
-    """Checked settings, or every problem found; never both."""
+    """Checked settings, or all problems found."""
 
     settings: schema.Settings | None
     problems: tuple[problem.Problem, ...] = ()
@@ -55,7 +55,7 @@
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return _refuse(str(path), f"a readable file: {error}")
+        return _build_refusal(str(path), f"a readable file: {error}")
     return check_settings(text)
 
 
@@ -66,15 +66,15 @@
     --------
     >>> check_settings(EXAMPLE).settings.daemon.vm
     'entry-1'
-    >>> [one.place for one in check_settings("daemon: {name: 1}").problems][:2]
+    >>> [item.place for item in check_settings("daemon: {name: 1}").problems][:2]
     ['daemon.name', 'daemon.vm']
     """
     try:
         data = yaml.load(text, Loader=check.UniqueKeyLoader)
     except (yaml.YAMLError, RecursionError, ValueError) as error:
-        return _refuse("", f"well-formed YAML: {' '.join(str(error).split())}")
+        return _build_refusal("", f"well-formed YAML: {' '.join(str(error).split())}")
     if not isinstance(data, dict):
-        return _refuse(data, "an object")
+        return _build_refusal(data, "an object")
     return _check_plain(data)
 
 
@@ -90,29 +90,29 @@
 
 
 def _find_problems(settings: schema.Settings) -> tuple[problem.Problem, ...]:
-    """Check what one section must say about another."""
-    found = []
-    longest = settings.callers.limits.longest_request
-    if settings.daemon.stop_within < longest:
-        found.append(
+    """Find problems that the schema does not cover, such as inconsistent limits."""
+    problems = []
+    longest_request = settings.callers.limits.longest_request
+    if settings.daemon.stop_within < longest_request:
+        problems.append(
             problem.Problem(
                 "daemon.stop_within",
                 settings.daemon.stop_within,
-                f"at least callers.limits.longest_request, {longest}",
+                f"at least callers.limits.longest_request, {longest_request}",
                 "seconds",
             )
         )
-    if settings.drains.longest_request < longest:
-        found.append(
+    if settings.drains.longest_request < longest_request:
+        problems.append(
             problem.Problem(
                 "drains.longest_request",
                 settings.drains.longest_request,
-                f"at least callers.limits.longest_request, {longest}",
+                f"at least callers.limits.longest_request, {longest_request}",
                 "seconds",
             )
         )
     if settings.drains.send_right < settings.peers.limits.send_right:
-        found.append(
+        problems.append(
             problem.Problem(
                 "drains.send_right",
                 settings.drains.send_right,
@@ -120,22 +120,25 @@
                 "seconds",
             )
         )
-    found.extend(_find_bad_numbers(settings, ()))
-    found.extend(_find_missing_files(settings))
+    problems.extend(_find_invalid_numbers(settings, ()))
+    problems.extend(_find_missing_files(settings))
     binds = [settings.callers.bind, settings.operators.bind, settings.peers.bind]
     if len(set(binds)) < len(binds):
-        found.append(problem.Problem("", binds, "three different addresses"))
-    return tuple(found)
+        problems.append(problem.Problem("", binds, "three different addresses"))
+    return tuple(problems)
 
 
-def _find_bad_numbers(
+def _find_invalid_numbers(
     value: Any, parts: tuple[str | int, ...]
 ) -> Iterator[problem.Problem]:
-    """Find limits that can't be meant: every number here is a count or a time."""
+    """Find numbers that are not positive; each is a count or a duration.
+
+    A share must be between 0 and 1.
+    """
     if isinstance(value, tuple):
         names = getattr(value, "_fields", range(len(value)))
         for name, item in zip(names, value, strict=True):
-            yield from _find_bad_numbers(item, (*parts, name))
+            yield from _find_invalid_numbers(item, (*parts, name))
     elif isinstance(value, bool) or not isinstance(value, int | float):
         return
     elif parts[-1] == "share":
@@ -147,8 +150,8 @@
 
 
 def _find_missing_files(settings: schema.Settings) -> Iterator[problem.Problem]:
-    """Find certificate files that can't be read: better now than at the bind."""
-    named = {
+    """Find certificate files that cannot be read, before a listener needs them."""
+    paths_by_place = {
         "platform.authority": settings.platform.authority,
         "workers.authority": settings.workers.authority,
     }
@@ -156,11 +159,11 @@
         tls = getattr(settings, section).tls
         if tls is not None:
             for name, path in tls._asdict().items():
-                named[f"{section}.tls.{name}"] = path
-    for place, path in named.items():
+                paths_by_place[f"{section}.tls.{name}"] = path
+    for place, path in paths_by_place.items():
         if path is not None and not os.access(path, os.R_OK):
             yield problem.Problem(place, path, "a file that can be read")
 
 
-def _refuse(value: Any, expected: str) -> Loaded:
+def _build_refusal(value: Any, expected: str) -> Loaded:
     return Loaded(None, (problem.Problem("", value, expected),))
--- a/wigeonhitch/settings/schema.py
+++ b/wigeonhitch/settings/schema.py
@@ -1,7 +1,7 @@
 """The settings of ``wigeonhitchd`` as typed records.
 
-Limits are declared beside the code they limit and only gathered here. Every
-time is in seconds unless its name says otherwise.
+Limits are defined next to the code that they apply to, and only composed here.
+Times are in seconds unless a name states another unit.
 """
 
 import ipaddress
@@ -39,7 +39,7 @@
 
 
 class Tls(NamedTuple):
-    """PEM files: own certificate, its key, and the authority of the others."""
+    """Paths of PEM files: own certificate, its key, and the CA of the other side."""
 
     certificate: str
     key: str
@@ -47,19 +47,19 @@
 
 
 class Daemon(NamedTuple):
-    """Who this daemon is.
+    """Identity of this daemon and its shutdown time-out.
 
     Parameters
     ----------
     name : str
         Unique among the daemons; a replaced daemon takes a new name.
     vm : str
-        The entry VM it runs on, as the platform's VM list names it.
+        The entry VM on which it runs, as named in the platform's VM list.
     data_centre : str
-        Where that VM is.
+        Data centre of that VM.
     stop_within : float
-        Seconds in which SIGTERM ends the process: the requests it holds are
-        finished up to then. At least the longest request.
+        Seconds within which the process ends after SIGTERM, finishing the
+        requests that it holds. At least the longest request.
     """
 
     name: Name
@@ -69,7 +69,7 @@
 
 
 class Callers(NamedTuple):
-    """Where callers' requests arrive; TLS without client certificates."""
+    """Listener for callers' requests; TLS without client certificates."""
 
     bind: Address
     tls: Tls | None = None
@@ -77,7 +77,7 @@
 
 
 class Operators(NamedTuple):
-    """Where operators' requests and ``/metrics`` arrive, and who they are."""
+    """Listener for operators' requests and ``/metrics``, and the credentials."""
 
     bind: Address
     tls: Tls | None = None
@@ -85,16 +85,16 @@
 
 
 class Seed(NamedTuple):
-    """A peer to talk to before the table has named any."""
+    """A peer to contact before the table lists any."""
 
     name: Name
     address: Address
 
 
 class Peers(NamedTuple):
-    """Where peers connect; ``tls`` makes all of it mutual TLS.
+    """Listener for peers; ``tls`` enables mutual TLS on all peer connections.
 
-    ``advertise`` is the address that peers use, if it isn't ``bind``.
+    ``advertise`` is the address that peers connect to, if it differs from ``bind``.
     """
 
     bind: Address
@@ -105,21 +105,21 @@
 
 
 class Platform(NamedTuple):
-    """The platform's service; ``authority`` is a PEM file for ``https``."""
+    """The platform's service; ``authority`` is a PEM file of the CA for ``https``."""
 
     url: Annotated[str, Field(pattern=r"^https?://[^/]+$")]
     authority: str | None = None
 
 
 class Workers(NamedTuple):
-    """Connections to workers; ``authority`` is a PEM file for TLS to them."""
+    """Connections to workers; ``authority`` is a PEM file of the CA for TLS."""
 
     authority: str | None = None
     limits: sender.Limits = sender.Limits()
 
 
 class Log(NamedTuple):
-    """What is logged."""
+    """Log settings."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
 
--- a/wigeonhitch/settings/tests/test_load.py
+++ b/wigeonhitch/settings/tests/test_load.py
@@ -4,17 +4,17 @@
 from wigeonhitch.settings import load
 
 
-def change(place, value):
+def edit_example(place, value):
     """Return the example's text with one value changed, or removed if None."""
     data = yaml.safe_load(load.EXAMPLE)
-    *sections, name = place.split(".")
+    *sections, key = place.split(".")
     section = data
-    for one in sections:
-        section = section.setdefault(one, {})
+    for name in sections:
+        section = section.setdefault(name, {})
     if value is None:
-        section.pop(name)
+        section.pop(key)
     else:
-        section[name] = value
+        section[key] = value
     return yaml.safe_dump(data)
 
 
@@ -45,23 +45,23 @@
         ("log.level", "loud"),
     ],
 )
-def test_wrong_value_is_refused_with_its_place(place, value):
-    loaded = load.check_settings(change(place, value))
+def test_invalid_value_is_refused_with_its_place(place, value):
+    loaded = load.check_settings(edit_example(place, value))
     assert loaded.settings is None
-    (found, *rest) = loaded.problems
+    (first_problem, *other_problems) = loaded.problems
     section = place.split(".")[0]
-    assert found.place.split(".")[0] in (section, "drains")
-    assert found.expected
+    assert first_problem.place.split(".")[0] in (section, "drains")
+    assert first_problem.expected
 
 
-def test_all_problems_come_at_once():
+def test_all_problems_are_reported():
     text = "daemon: {name: A}\nlog: {level: loud}\nextra: 1\n"
-    places = {one.place for one in load.check_settings(text).problems}
+    places = {name.place for name in load.check_settings(text).problems}
     assert {"daemon.name", "daemon.vm", "log.level", "extra", "platform"} <= places
 
 
 @pytest.mark.parametrize("text", ["", "[]", "a: [", "a: 1\na: 2", "a: &x [*x]"])
-def test_text_that_is_no_settings_is_refused(text):
+def test_text_without_settings_is_refused(text):
     assert load.check_settings(text).settings is None
 
 
@@ -69,6 +69,6 @@
     assert load.load(tmp_path / "absent.yaml").problems
 
 
-def test_listeners_may_not_share_an_address():
-    loaded = load.check_settings(change("peers.bind", "127.0.0.1:8080"))
+def test_listeners_must_have_different_addresses():
+    loaded = load.check_settings(edit_example("peers.bind", "127.0.0.1:8080"))
     assert "three different addresses" in loaded.problems[0].expected
