--- a/wigeonhitch/placement/attempt.py
+++ b/wigeonhitch/placement/attempt.py
@@ -11,15 +11,22 @@
 from wigeonhitch.placement import job
 from wigeonhitch.platform import tasks
 
-__all__ = ["ALIVE", "LEASE", "MARGIN", "Attempt", "End", "classify"]
+__all__ = [
+    "ALIVE",
+    "TASK_LEASE_SECONDS",
+    "LEASE_MARGIN_SECONDS",
+    "Attempt",
+    "AttemptResult",
+    "classify",
+]
 
 # A store outage or takeover shorter than this stops no task; a lost worker
-# that the platform doesn't list holds its job for this long plus MARGIN.
-LEASE = 60.0
+# that the platform doesn't list holds its job for this long plus LEASE_MARGIN_SECONDS.
+TASK_LEASE_SECONDS = 60.0
 # Covers a renewal that is still on its way when its answer has timed out.
-MARGIN = 5.0
+LEASE_MARGIN_SECONDS = 5.0
 # Between tries of a call whose answer was lost.
-RETRY = 0.5
+RETRY_DELAY_SECONDS = 0.5
 
 ALIVE = frozenset(
     {
@@ -30,7 +37,7 @@
 )
 
 
-class End(enum.Enum):
+class AttemptResult(enum.Enum):
     """How an attempt ended, as far as the job's future goes."""
 
     FINISHED = "finished"
@@ -39,15 +46,15 @@
     LOST = "lost with its worker or lease"
 
 
-def classify(task: tasks.Task) -> End | None:
+def classify(task: tasks.Task) -> AttemptResult | None:
     """Return how a listed task ended, or None while it is alive."""
     if task.state in ALIVE:
         return None
     if task.state is tasks.TaskState.FINISHED:
-        return End.FINISHED
+        return AttemptResult.FINISHED
     if task.state is tasks.TaskState.STOPPED or "lost" in task.reason:
-        return End.LOST
-    return End.MEMORY if "memory" in task.reason else End.FAILED
+        return AttemptResult.LOST
+    return AttemptResult.MEMORY if "memory" in task.reason else AttemptResult.FAILED
 
 
 class Attempt:
@@ -71,7 +78,7 @@
     retry_at : float
         No call before this time.
     touched : float
-        No lease of ours reaches beyond this time plus LEASE.
+        No lease of ours reaches beyond this time plus TASK_LEASE_SECONDS.
     sealed : bool
         The platform has this holder's fencing token for the task, so no
         earlier holder can start or renew it.
@@ -124,9 +131,9 @@
         self.wait = ""
         self.wait_at = item.since
         self.told_at = 0.0
-        self.begin(unsure=item.state in job.HOLDING and item.fence != fence)
+        self.reset(unsure=item.state in job.HOLDING and item.fence != fence)
 
-    def begin(self, *, unsure: bool) -> None:
+    def reset(self, *, unsure: bool) -> None:
         """Forget the earlier attempt."""
         self.calls = 0
         self.unsure = unsure
@@ -149,7 +156,7 @@
         self.peak = (0.0, 0.0)
 
     @property
-    def end(self) -> End | None:
+    def result(self) -> AttemptResult | None:
         """How the platform says the attempt ended, or None."""
         return classify(self.seen) if self.seen is not None else None
 
@@ -166,7 +173,10 @@
         """
         if not (self.unlisted and self.known and self.sealed):
             return False
-        return not self.flying and now >= self.touched + LEASE + MARGIN
+        return (
+            not self.flying
+            and now >= self.touched + TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
+        )
 
     def was_never_sent(self, fence: int) -> bool:
         """Whether no start call of this attempt can exist or come to exist."""
--- a/wigeonhitch/placement/backlog.py
+++ b/wigeonhitch/placement/backlog.py
@@ -49,12 +49,12 @@
         """Return the teams with a job queued, in order of name."""
         return sorted(self._queues.get((pool, urgent), ()))
 
-    def first(self, pool: str, urgent: bool, team: str, count: int) -> Iterator[str]:
+    def peek(self, pool: str, urgent: bool, team: str, count: int) -> Iterator[str]:
         """Return the names of a team's first ``count`` queued jobs."""
         queue = self._queues.get((pool, urgent), {}).get(team, ())
         return iter([entry[2] for entry in queue[:count]])
 
-    def slack(self, pool: str, team: str) -> float:
+    def earliest_latest_start(self, pool: str, team: str) -> float:
         """Return the earliest latest-start time of a team's bulk jobs."""
         return self._queues[(pool, False)][team][0][0]
 
--- a/wigeonhitch/placement/calls.py
+++ b/wigeonhitch/placement/calls.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-from wigeonhitch.placement import attempt, job, settle, state
+from wigeonhitch.placement import attempt, job, reconciliation, state
 from wigeonhitch.platform import table, tasks
 
 __all__ = [
@@ -12,19 +12,19 @@
     "record_renewal",
     "find_renewals",
     "next_calls",
-    "see",
+    "record_tasks",
 ]
 
 # A worker that refused a start is left alone for this long: the view of the
 # fleet lags behind the platform by some seconds.
-COOLING = 5.0
+REFUSAL_COOLDOWN_SECONDS = 5.0
 # A stop is asked for again if the task is still listed alive after this.
-AGAIN = 10.0
+STOP_RETRY_SECONDS = 10.0
 # Above these shares of a worker's memory and cores bulk is checkpointed or
 # throttled; the memory share leaves room for what grows between two reports.
-MEMORY_SHARE = 0.92
-CORES_SHARE = 1.0
-CALM_SHARE = 0.8
+MAX_MEMORY_SHARE = 0.92
+MAX_CORES_SHARE = 1.0
+RESUME_CORES_SHARE = 0.8
 
 S = job.JobState
 T = tasks.TaskState
@@ -40,16 +40,16 @@
     spec: tasks.TaskSpec | None = None
 
 
-def next_calls(shard: state.State, now: float, limit: int) -> list[Call]:
+def next_calls(shard: state.ShardState, now: float, limit: int) -> list[Call]:
     """Return up to ``limit`` calls; starts of urgent jobs come first."""
     found: list[Call] = []
-    for name in sorted(shard.pending, key=lambda name: _rank(shard, name)):
+    for name in sorted(shard.pending_calls, key=lambda name: _rank_call(shard, name)):
         if len(found) >= limit:
             break
         entry = shard.jobs.get(name)
-        action = _want(shard, entry) if entry is not None else ""
+        action = _find_action(shard, entry) if entry is not None else ""
         if not action:
-            shard.pending.discard(name)
+            shard.pending_calls.discard(name)
             continue
         if entry.flying or entry.retry_at > now:
             continue
@@ -58,14 +58,14 @@
     return found
 
 
-def _rank(shard: state.State, name: str) -> tuple[bool, bool, str]:
+def _rank_call(shard: state.ShardState, name: str) -> tuple[bool, bool, str]:
     entry = shard.jobs.get(name)
     if entry is None:
         return True, True, name
     return entry.job.state is not S.STARTING, not entry.job.is_urgent, name
 
 
-def _make_call(shard: state.State, entry: attempt.Attempt, action: str) -> Call:
+def _make_call(shard: state.ShardState, entry: attempt.Attempt, action: str) -> Call:
     item = entry.job
     if action != "start":
         return Call(action, item.name, item.attempt, item.task)
@@ -77,12 +77,12 @@
         memory=item.memory,
         work=dict(item.asked.work),
         fence=shard.fence,
-        lease=attempt.LEASE,
+        lease=attempt.TASK_LEASE_SECONDS,
     )
     return Call(action, item.name, item.attempt, item.task, spec)
 
 
-def _want(shard: state.State, entry: attempt.Attempt) -> str:
+def _find_action(shard: state.ShardState, entry: attempt.Attempt) -> str:
     item = entry.job
     if item.state is S.STARTING:
         vm = shard.vms.get(item.vm)
@@ -91,12 +91,12 @@
         if entry.known or entry.refused or not ready:
             return ""
         return "" if item.cancel and not sealing and entry.calls == 0 else "start"
-    if item.state is not S.RUNNING or entry.end is not None:
+    if item.state is not S.RUNNING or entry.result is not None:
         return ""
-    return _want_running(entry)
+    return _find_running_action(entry)
 
 
-def _want_running(entry: attempt.Attempt) -> str:
+def _find_running_action(entry: attempt.Attempt) -> str:
     item = entry.job
     if item.cancel or entry.evict:
         return "stop"
@@ -113,31 +113,31 @@
 
 
 def record_answer(
-    shard: state.State, call: Call, outcome: table.Outcome | None, now: float
+    shard: state.ShardState, call: Call, outcome: table.Outcome | None, now: float
 ) -> None:
     """Take the outcome of a call; None when it was not sent after all."""
     entry = shard.jobs.get(call.name)
     if entry is None or entry.job.attempt != call.attempt:
         return
     entry.flying = False
-    shard.pending.add(call.name)
+    shard.pending_calls.add(call.name)
     if outcome is None:
         entry.calls -= call.action == "start"
-        entry.retry_at = now + attempt.RETRY
+        entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
         return
     entry.touched = max(entry.touched, now)
-    shard.unsettled.add(call.name)
+    shard.unreconciled.add(call.name)
     entry.sealed = entry.sealed or outcome is table.Outcome.DONE
     if call.action == "start":
         _answer_start(shard, entry, call, outcome, now)
         return
     done = outcome is table.Outcome.DONE
-    entry.retry_at = now + attempt.RETRY
+    entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
     if not done:
         return
     entry.acted_at = now
     if call.action == "stop":
-        entry.retry_at = now + AGAIN
+        entry.retry_at = now + STOP_RETRY_SECONDS
         return
     if call.action == "checkpoint":
         entry.paused_at = now
@@ -151,7 +151,7 @@
 
 
 def _answer_start(
-    shard: state.State,
+    shard: state.ShardState,
     entry: attempt.Attempt,
     call: Call,
     outcome: table.Outcome,
@@ -160,18 +160,21 @@
     if outcome is table.Outcome.DONE:
         entry.known = True
         return
-    entry.retry_at = now + attempt.RETRY
+    entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
     if outcome is table.Outcome.UNKNOWN:
         entry.unsure = True
         return
     entry.refused = True
-    shard.dirty.add(entry.job.asked.pool)
-    shard.cooling[call.spec.vm] = now + COOLING
+    shard.dirty_pools.add(entry.job.asked.pool)
+    shard.cooldown_until[call.spec.vm] = now + REFUSAL_COOLDOWN_SECONDS
     shard.counters["refused_starts"] += 1
 
 
-def see(
-    shard: state.State, listed: Sequence[tasks.Task], vms: Collection[str], at: float
+def record_tasks(
+    shard: state.ShardState,
+    listed: Sequence[tasks.Task],
+    vms: Collection[str],
+    at: float,
 ) -> None:
     """Take a list of the tasks of ``vms`` that was asked for at time ``at``."""
     present = set()
@@ -182,24 +185,24 @@
             continue
         present.add(name)
         if at >= entry.seen_at:
-            _see_one(shard, entry, task, at)
+            _record_task(shard, entry, task, at)
     for vm in vms:
         for name in shard.on_vm.get(vm, ()):
             entry = shard.jobs[name]
-            if name not in present and at >= entry.seen_at and entry.end is None:
+            if name not in present and at >= entry.seen_at and entry.result is None:
                 entry.seen = None
                 entry.unlisted = True
-                shard.unsettled.add(name)
-    shard.measure(vms)
+                shard.unreconciled.add(name)
+    shard.update_overrun(vms)
     for vm in vms:
-        _relieve(shard, vm)
+        _relieve_worker(shard, vm)
 
 
-def _see_one(
-    shard: state.State, entry: attempt.Attempt, task: tasks.Task, at: float
+def _record_task(
+    shard: state.ShardState, entry: attempt.Attempt, task: tasks.Task, at: float
 ) -> None:
     ended = attempt.classify(task) is not None
-    if entry.end is not None or (not ended and at < entry.acted_at):
+    if entry.result is not None or (not ended and at < entry.acted_at):
         return
     name = entry.job.name
     entry.seen = task
@@ -212,18 +215,18 @@
     )
     stray = task.vm != entry.job.vm
     if ended or stray or entry.job.state is S.STARTING or entry.job.paused:
-        shard.unsettled.add(name)
+        shard.unreconciled.add(name)
     if ended:
-        settle.learn(shard, entry, at)
+        reconciliation.record_result(shard, entry, at)
         return
-    settle.sample(shard, entry, at)
-    if settle.shrink(entry) is not None:
-        shard.unsettled.add(name)
-    if _want(shard, entry):
-        shard.pending.add(name)
+    reconciliation.sample_usage(shard, entry, at)
+    if reconciliation.reclaim_unused(entry) is not None:
+        shard.unreconciled.add(name)
+    if _find_action(shard, entry):
+        shard.pending_calls.add(name)
 
 
-def _relieve(shard: state.State, vm: str) -> None:
+def _relieve_worker(shard: state.ShardState, vm: str) -> None:
     """Checkpoint or throttle bulk before it harms urgent work on its worker.
 
     Load: bulk that uses several times what it declared. Harm: the worker runs
@@ -232,31 +235,33 @@
     """
     known = shard.vms.get(vm)
     entries = [shard.jobs[name] for name in sorted(shard.on_vm.get(vm, ()))]
-    alive = [entry for entry in entries if entry.is_alive and entry.job.holds]
+    alive = [
+        entry for entry in entries if entry.is_alive and entry.job.holds_reservation
+    ]
     bulk = [entry for entry in alive if not entry.job.is_urgent and not entry.pausing]
     if known is None or not bulk:
         return
     memory = sum(entry.seen.used_memory for entry in alive)
-    if memory > MEMORY_SHARE * known.memory and len(alive) > 1:
+    if memory > MAX_MEMORY_SHARE * known.memory and len(alive) > 1:
         worst = max(bulk, key=lambda e: e.seen.used_memory - e.job.memory)
         if worst.seen.used_memory > worst.job.memory:
             worst.pausing = True
             shard.counters["checkpoints"] += 1
-            shard.pending.add(worst.job.name)
+            shard.pending_calls.add(worst.job.name)
     cores = sum(entry.seen.used_cores for entry in alive)
-    if cores > CORES_SHARE * known.cores and len(bulk) < len(alive):
+    if cores > MAX_CORES_SHARE * known.cores and len(bulk) < len(alive):
         worst = max(bulk, key=lambda e: e.seen.used_cores - e.job.cores)
         worst.throttle = True
         shard.counters["throttles"] += 1
-        shard.pending.add(worst.job.name)
-    elif cores < CALM_SHARE * known.cores:
+        shard.pending_calls.add(worst.job.name)
+    elif cores < RESUME_CORES_SHARE * known.cores:
         for entry in bulk:
             if entry.throttle:
                 entry.throttle = False
-                shard.pending.add(entry.job.name)
+                shard.pending_calls.add(entry.job.name)
 
 
-def find_renewals(shard: state.State) -> list[str]:
+def find_renewals(shard: state.ShardState) -> list[str]:
     """Return the tasks to renew: those listed alive, or not yet looked for.
 
     A task that is not listed is not renewed, so that its lease is sure to
@@ -267,13 +272,13 @@
         item = entry.job
         if item.state is not S.RUNNING or entry.evict or item.cancel:
             continue
-        if entry.is_alive or (entry.end is None and not entry.unlisted):
+        if entry.is_alive or (entry.result is None and not entry.unlisted):
             found.append(item.task)
     return found
 
 
 def record_renewal(
-    shard: state.State, renewed: Sequence[str], outcome: table.Outcome, now: float
+    shard: state.ShardState, renewed: Sequence[str], outcome: table.Outcome, now: float
 ) -> None:
     """Take the outcome of a renewal of tasks."""
     for task in renewed:
@@ -282,4 +287,4 @@
         if entry is not None and entry.job.attempt == number:
             entry.touched = max(entry.touched, now)
             entry.sealed = entry.sealed or outcome is table.Outcome.DONE
-            shard.unsettled.add(name)
+            shard.unreconciled.add(name)
--- a/wigeonhitch/placement/controller.py
+++ b/wigeonhitch/placement/controller.py
@@ -34,16 +34,16 @@
 PURPOSE = "placement"
 # Usage lags by seconds anyway; 25 workers with four tasks each make 15 KB a
 # list, so 5 s keeps a shard near 3 KB a second.
-USAGE_PERIOD = 5.0
+USAGE_PERIOD_SECONDS = 5.0
 # While urgent work waits for room or quota, ended tasks are looked for at this
 # period instead: they hold both until they are seen to have ended.
-WAITING_PERIOD = 1.0
-LEDGER_PERIOD = 5.0
+URGENT_USAGE_PERIOD_SECONDS = 1.0
+LEDGER_PERIOD_SECONDS = 5.0
 # Four tries within one lease.
-RENEW_PERIOD = 15.0
-RENEW_CHUNK = 200
+RENEW_PERIOD_SECONDS = 15.0
+MAX_TASKS_PER_RENEWAL = 200
 # Commits in one step, before new jobs and answers are looked at again.
-COMMITS = 4
+MAX_COMMITS_PER_STEP = 4
 
 Spawn = Callable[..., None]
 
@@ -81,11 +81,11 @@
         self.duty = view.duty_name(shard)
         self.core: core.Core | None = None
         self.fence = 0
-        self._since = 0
-        self._ledger_since = 0
-        self._offset = 0.0
-        self._done: dict[str, float] = {}
-        self._stale: set[str] = set()
+        self._marker_revision = 0
+        self._ledger_revision = 0
+        self._clock_offset = 0.0
+        self._last_run: dict[str, float] = {}
+        self._unconfirmed: set[str] = set()
         self._document: document.Document | None = None
         self._policy: view.Policy | None = None
         self._retention = retention.Retention(platform.table, shard)
@@ -100,7 +100,7 @@
         """Step whenever woken or answered."""
         try:
             while True:
-                self._take(await self._receive.receive())
+                self._handle_answer(await self._receive.receive())
                 await self.step()
         finally:
             self.close()
@@ -119,12 +119,12 @@
             return True
         if self.core is None:
             return False
-        if self.core.state.jobs or self._stale or self._is_signalled():
+        if self.core.state.jobs or self._unconfirmed or self._is_signalled():
             return True
         return held is not None and self._retention.is_due(self.now)
 
     def _is_signalled(self) -> bool:
-        return self._reader.moved.get(self.shard, 0) > self._since
+        return self._reader.revisions.get(self.shard, 0) > self._marker_revision
 
     @property
     def now(self) -> float:
@@ -132,11 +132,11 @@
 
         It runs on a clock that counts suspension and never steps back.
         """
-        return self._platform.clock() + self._offset
+        return self._platform.clock() + self._clock_offset
 
     async def step(self) -> None:
         """Take answers, read changes, decide, commit, and make calls."""
-        self._drain()
+        self._receive_answers()
         held = self._platform.leases.current(self.duty)
         if self.core is None or (held is not None and held.fence != self.fence):
             self.core = None
@@ -145,24 +145,24 @@
         self._renew()
         if held is None or not await self._refresh():
             return
-        self._list()
-        for _ in range(COMMITS):
+        self._list_tasks()
+        for _ in range(MAX_COMMITS_PER_STEP):
             if not await self._commit(held):
                 break
-        if self.core is not None and not self._stale:
+        if self.core is not None and not self._unconfirmed:
             for call in self.core.next_calls(self.now):
                 self._counters[f"call_{call.action}"] += 1
-                self._spawn(self._call, self.fence, call)
+                self._spawn(self._make_call, self.fence, call)
         self._counters["deleted"] += await self._retention.sweep(held, self.now)
 
-    def _drain(self) -> None:
+    def _receive_answers(self) -> None:
         while True:
             try:
-                self._take(self._receive.receive_nowait())
+                self._handle_answer(self._receive.receive_nowait())
             except (anyio.WouldBlock, anyio.EndOfStream):
                 return
 
-    def _take(
+    def _handle_answer(
         self,
         answer: message.Answered | message.Renewed | message.Listed | message.Wake,
     ) -> None:
@@ -173,11 +173,11 @@
         if isinstance(answer, message.Answered):
             self.core.record_answer(answer.call, answer.outcome, self.now)
         elif isinstance(answer, message.Renewed):
-            self._take_renewal(answer)
+            self._handle_renewal(answer)
         elif answer.result.outcome is table.Outcome.DONE:
             self.core.update_tasks(answer.result.tasks, answer.vms, answer.at)
 
-    def _take_renewal(self, answer: message.Renewed) -> None:
+    def _handle_renewal(self, answer: message.Renewed) -> None:
         self.core.record_renewal(answer.names, answer.outcome, self.now)
         lapsed = self._platform.leases.current(self.duty) is None
         if lapsed and answer.outcome is table.Outcome.NOT_DONE:
@@ -186,20 +186,20 @@
 
     async def _take_over(self, held: lease.Lease) -> bool:
         platform = self._platform
-        prefix = f"{ledger.MARKER}{self.shard}/"
+        prefix = f"{ledger.MARKER_PREFIX}{self.shard}/"
         found = await platform.table.scan(prefix, purpose=PURPOSE)
         if found.outcome is not table.Outcome.DONE:
             return False
         fresh = core.Core(self.shard, held.fence)
         if await rows.read_ledger(platform.table, fresh, 0) is None:
             return False
-        keys = [rows.find_job(row.key) for row in found.rows]
+        keys = [rows.find_job_key(row.key) for row in found.rows]
         if not await rows.read_jobs(platform.table, fresh, keys):
             return False
-        self._offset = found.time - platform.clock()
-        self._since = self._ledger_since = found.revision
-        self._done = {"ledger": self.now}
-        self._stale = set()
+        self._clock_offset = found.time - platform.clock()
+        self._marker_revision = self._ledger_revision = found.revision
+        self._last_run = {"ledger": self.now}
+        self._unconfirmed = set()
         self.core, self.fence = fresh, held.fence
         self._counters["takeovers"] += 1
         log.log_change("placement taken over", duty=self.duty, jobs=len(keys))
@@ -207,11 +207,14 @@
 
     async def _refresh(self) -> bool:
         """Read what others changed; false when the table can't be read."""
-        if not await self._read_stale():
+        if not await self._read_unconfirmed():
             return False
         if self._is_signalled() and not await self._read_markers():
             return False
-        if self._is_due("ledger", LEDGER_PERIOD) and not await self._read_ledger():
+        if (
+            self._is_due("ledger", LEDGER_PERIOD_SECONDS)
+            and not await self._read_ledger()
+        ):
             return False
         source = self._platform.source()
         if source is not None and source is not self._document:
@@ -223,42 +226,44 @@
         return True
 
     def _is_due(self, what: str, period: float) -> bool:
-        if self.now < self._done.get(what, -math.inf) + period:
+        if self.now < self._last_run.get(what, -math.inf) + period:
             return False
-        self._done[what] = self.now
+        self._last_run[what] = self.now
         return True
 
-    async def _read_stale(self) -> bool:
+    async def _read_unconfirmed(self) -> bool:
         """Read back the rows of a commit whose fate was not known."""
-        if self._stale and not await self._read_jobs(sorted(self._stale)):
+        if self._unconfirmed and not await self._read_jobs(sorted(self._unconfirmed)):
             return False
-        self._stale = set()
+        self._unconfirmed = set()
         return True
 
     async def _read_jobs(self, keys: Sequence[str]) -> bool:
         return await rows.read_jobs(self._platform.table, self.core, keys)
 
     async def _read_markers(self) -> bool:
-        prefix = f"{ledger.MARKER}{self.shard}/"
+        prefix = f"{ledger.MARKER_PREFIX}{self.shard}/"
         found = await self._platform.table.scan(
-            prefix, purpose=PURPOSE, since=self._since
+            prefix, purpose=PURPOSE, since=self._marker_revision
         )
         if found.outcome is not table.Outcome.DONE:
             return False
         gone = [row for row in found.rows if row.value is None]
-        self.core.load(table.Row(rows.find_job(row.key), None, 0) for row in gone)
-        keys = [rows.find_job(row.key) for row in found.rows if row.value is not None]
+        self.core.load(table.Row(rows.find_job_key(row.key), None, 0) for row in gone)
+        keys = [
+            rows.find_job_key(row.key) for row in found.rows if row.value is not None
+        ]
         if not await self._read_jobs(keys):
             return False
-        self._since = max(self._since, found.revision)
+        self._marker_revision = max(self._marker_revision, found.revision)
         return True
 
     async def _read_ledger(self) -> bool:
         store = self._platform.table
-        revision = await rows.read_ledger(store, self.core, self._ledger_since)
+        revision = await rows.read_ledger(store, self.core, self._ledger_revision)
         if revision is None:
             return False
-        self._ledger_since = revision
+        self._ledger_revision = revision
         return True
 
     async def _commit(self, held: lease.Lease) -> bool:
@@ -282,7 +287,7 @@
             log.log_change("replaced by another holder", duty=self.duty)
             self.core = None
         elif result.outcome is table.Outcome.UNKNOWN:
-            self._stale = {condition.key for condition in batch.conditions}
+            self._unconfirmed = {condition.key for condition in batch.conditions}
         else:
             self.core.load(result.conflicts)
         return False
@@ -294,25 +299,27 @@
         renewal starts nothing; the platform refuses it once a later holder
         has shown its fencing token.
         """
-        if not self._is_due("renew", RENEW_PERIOD):
+        if not self._is_due("renew", RENEW_PERIOD_SECONDS):
             return
         names = self.core.find_renewals()
-        for start in range(0, len(names), RENEW_CHUNK):
-            chunk = tuple(names[start : start + RENEW_CHUNK])
-            self._spawn(self._call_renew, self.fence, chunk)
+        for start in range(0, len(names), MAX_TASKS_PER_RENEWAL):
+            chunk = tuple(names[start : start + MAX_TASKS_PER_RENEWAL])
+            self._spawn(self._renew_tasks, self.fence, chunk)
 
-    def _list(self) -> None:
+    def _list_tasks(self) -> None:
         state = self.core.state
         if not any(state.on_vm.values()):
             return
         waits = state.backlog.has_urgent()
-        if not self._is_due("usage", WAITING_PERIOD if waits else USAGE_PERIOD):
+        if not self._is_due(
+            "usage", URGENT_USAGE_PERIOD_SECONDS if waits else USAGE_PERIOD_SECONDS
+        ):
             return
         vms = tuple(sorted(set(state.vms) | set(state.on_vm)))
         if vms:
-            self._spawn(self._call_list, self.fence, vms, self.now)
+            self._spawn(self._fetch_tasks, self.fence, vms, self.now)
 
-    async def _call(self, fence: int, call: calls.Call) -> None:
+    async def _make_call(self, fence: int, call: calls.Call) -> None:
         """Make one call, after a last look at the lease."""
         held = self._platform.leases.current(self.duty)
         if held is None or held.fence != fence:
@@ -326,12 +333,12 @@
             answer = service.control(call.task, call.action, fence, purpose=PURPOSE)
         self._send.send_nowait(message.Answered(fence, call, await answer))
 
-    async def _call_renew(self, fence: int, names: tuple[str, ...]) -> None:
+    async def _renew_tasks(self, fence: int, names: tuple[str, ...]) -> None:
         outcome = await self._platform.tasks.renew(
-            names, fence, attempt.LEASE, purpose=PURPOSE
+            names, fence, attempt.TASK_LEASE_SECONDS, purpose=PURPOSE
         )
         self._send.send_nowait(message.Renewed(fence, names, outcome))
 
-    async def _call_list(self, fence: int, vms: tuple[str, ...], at: float) -> None:
+    async def _fetch_tasks(self, fence: int, vms: tuple[str, ...], at: float) -> None:
         result = await self._platform.tasks.list_tasks(vms, purpose=PURPOSE)
         self._send.send_nowait(message.Listed(fence, vms, at, result))
--- a/wigeonhitch/placement/job.py
+++ b/wigeonhitch/placement/job.py
@@ -27,7 +27,7 @@
 
 PREFIX = "job/"
 URGENT = "urgent"
-UNNAMED = "default"
+DEFAULT_KIND = "default"
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
 JobId = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$")]
 Positive = Annotated[float, Field(gt=0, allow_inf_nan=False)]
@@ -86,20 +86,20 @@
     duration: Positive
     deadline: Positive
     urgency: Name = "bulk"
-    kind: Name = UNNAMED
+    kind: Name = DEFAULT_KIND
     spread: str = ""
     rerun: bool = True
     work: dict[str, Any] = {}
 
     @property
-    def family(self) -> str:
+    def sizing_key(self) -> str:
         """Return the name under which sizes are learned.
 
         Load: submitters that name no kind. Harm: small urgent jobs would be
         given the size of another team's bulk and use up their quota waiting
         for it. Without a kind only jobs alike in all that is stated share.
         """
-        if self.kind != UNNAMED:
+        if self.kind != DEFAULT_KIND:
             return self.kind
         return f"{self.team}/{self.urgency}/{self.cores:g}/{self.memory:g}"
 
@@ -180,7 +180,7 @@
         return self.due - self.asked.duration
 
     @property
-    def holds(self) -> bool:
+    def holds_reservation(self) -> bool:
         """Whether the job holds a reservation on its worker."""
         return self.state in HOLDING and not self.paused
 
--- a/wigeonhitch/placement/ledger.py
+++ b/wigeonhitch/placement/ledger.py
@@ -11,24 +11,24 @@
 from wigeonhitch.platform import table
 
 __all__ = [
-    "DAY",
-    "ENDED",
-    "MARKER",
-    "QUOTA",
-    "RESERVATION",
+    "DAY_SECONDS",
+    "ENDED_PREFIX",
+    "MARKER_PREFIX",
+    "QUOTA_PREFIX",
+    "RESERVATION_PREFIX",
     "Batch",
     "Ledger",
     "ended_key",
     "marker_key",
 ]
 
-RESERVATION = "reservation/"
-QUOTA = "quota/"
-MARKER = "placing/"
-ENDED = "ended/"
-DAY = 86_400  # seconds
-DIGITS = 6
-NOTHING = (0.0, 0.0)
+RESERVATION_PREFIX = "reservation/"
+QUOTA_PREFIX = "quota/"
+MARKER_PREFIX = "placing/"
+ENDED_PREFIX = "ended/"
+DAY_SECONDS = 86_400  # seconds
+ROUNDING_DIGITS = 6
+ZERO = (0.0, 0.0)
 
 
 class Batch(NamedTuple):
@@ -39,7 +39,7 @@
     before: Mapping[str, job.Job]
 
 
-class Holding:
+class LedgerRow:
     """One row: its version and the (cores, memory) held under each name."""
 
     __slots__ = ("items", "total", "version")
@@ -47,7 +47,7 @@
     def __init__(self):
         self.version = 0
         self.items: dict[str, tuple[float, float]] = {}
-        self.total = NOTHING
+        self.total = ZERO
 
     def put(self, name: str, size: tuple[float, float]) -> None:
         """Set what is held under a name; nothing removes it."""
@@ -70,54 +70,54 @@
 
 def marker_key(shard: int, name: str) -> str:
     """Return the key of the row by which a job's shard finds it."""
-    return f"{MARKER}{shard}/{name}"
+    return f"{MARKER_PREFIX}{shard}/{name}"
 
 
 def ended_key(shard: int, item: job.Job) -> str:
     """Return the key of the row by which an ended job is found for deletion."""
-    return f"{ENDED}{shard}/{int(item.since // DAY)}/{item.name}"
+    return f"{ENDED_PREFIX}{shard}/{int(item.since // DAY_SECONDS)}/{item.name}"
 
 
 class Ledger:
     """Reservations by worker, and use by team and pool."""
 
     def __init__(self):
-        self.vms: dict[str, Holding] = {}
-        self.teams: dict[str, Holding] = {}
+        self.vms: dict[str, LedgerRow] = {}
+        self.teams: dict[str, LedgerRow] = {}
 
     def load(self, row: table.Row) -> None:
         """Take over a reservation or quota row as read."""
-        if row.key.startswith(RESERVATION):
-            holding = self.reservation(row.key.removeprefix(RESERVATION))
+        if row.key.startswith(RESERVATION_PREFIX):
+            ledger_row = self.reservation(row.key.removeprefix(RESERVATION_PREFIX))
             field = "jobs"
         else:
-            holding = self.quota(row.key.removeprefix(QUOTA))
+            ledger_row = self.quota(row.key.removeprefix(QUOTA_PREFIX))
             field = "pools"
-        if row.version >= holding.version or row.version == 0:
-            holding.load((row.value or {}).get(field, {}), _version(row))
+        if row.version >= ledger_row.version or row.version == 0:
+            ledger_row.load((row.value or {}).get(field, {}), _version(row))
 
-    def reservation(self, vm: str) -> Holding:
+    def reservation(self, vm: str) -> LedgerRow:
         """Return what is reserved on a worker."""
-        return self.vms.setdefault(vm, Holding())
+        return self.vms.setdefault(vm, LedgerRow())
 
-    def quota(self, team: str) -> Holding:
+    def quota(self, team: str) -> LedgerRow:
         """Return what a team uses, by pool."""
-        return self.teams.setdefault(team, Holding())
+        return self.teams.setdefault(team, LedgerRow())
 
-    def move(self, old: job.Job, new: job.Job) -> None:
+    def apply_change(self, old: job.Job, new: job.Job) -> None:
         """Apply the change of one job."""
-        if old.holds:
-            self._add(old, -1)
-            self.reservation(old.vm).put(old.name, NOTHING)
-        if new.holds:
-            self._add(new, 1)
+        if old.holds_reservation:
+            self._add_usage(old, -1)
+            self.reservation(old.vm).put(old.name, ZERO)
+        if new.holds_reservation:
+            self._add_usage(new, 1)
             self.reservation(new.vm).put(new.name, (new.cores, new.memory))
 
-    def _add(self, item: job.Job, sign: int) -> None:
+    def _add_usage(self, item: job.Job, sign: int) -> None:
         quota = self.quota(item.asked.team)
-        cores, memory = quota.items.get(item.asked.pool, NOTHING)
-        cores = round(max(0.0, cores + sign * item.cores), DIGITS)
-        memory = round(max(0.0, memory + sign * item.memory), DIGITS)
+        cores, memory = quota.items.get(item.asked.pool, ZERO)
+        cores = round(max(0.0, cores + sign * item.cores), ROUNDING_DIGITS)
+        memory = round(max(0.0, memory + sign * item.memory), ROUNDING_DIGITS)
         quota.put(item.asked.pool, (cores, memory))
 
     def build(
@@ -137,34 +137,36 @@
                 writes.append(table.Write(marker_key(shard, new.name), None))
                 writes.append(table.Write(ended_key(shard, new), {}))
             for item in (old, new):
-                if item.holds:
+                if item.holds_reservation:
                     vms.add(item.vm)
                     teams.add(item.asked.team)
         for vm in sorted(vms):
-            _add_row(RESERVATION + vm, "jobs", self.vms[vm], conditions, writes)
+            _add_row(RESERVATION_PREFIX + vm, "jobs", self.vms[vm], conditions, writes)
         for team in sorted(teams):
-            _add_row(QUOTA + team, "pools", self.teams[team], conditions, writes)
+            _add_row(QUOTA_PREFIX + team, "pools", self.teams[team], conditions, writes)
         return Batch(tuple(conditions), tuple(writes), before)
 
     def confirm(self, batch: Batch, revision: int) -> None:
         """Note the versions that a commit gave to its rows."""
         for write in batch.writes:
             version = revision if write.value is not None else 0
-            if write.key.startswith(RESERVATION):
-                self.reservation(write.key.removeprefix(RESERVATION)).version = version
-            elif write.key.startswith(QUOTA):
-                self.quota(write.key.removeprefix(QUOTA)).version = version
+            if write.key.startswith(RESERVATION_PREFIX):
+                self.reservation(
+                    write.key.removeprefix(RESERVATION_PREFIX)
+                ).version = version
+            elif write.key.startswith(QUOTA_PREFIX):
+                self.quota(write.key.removeprefix(QUOTA_PREFIX)).version = version
 
 
 def _add_row(
     key: str,
     field: str,
-    holding: Holding,
+    ledger_row: LedgerRow,
     conditions: list[table.Condition],
     writes: list[table.Write],
 ) -> None:
-    conditions.append(table.Condition(key, holding.version))
-    value = {field: holding.dump()} if holding.items else None
+    conditions.append(table.Condition(key, ledger_row.version))
+    value = {field: ledger_row.dump()} if ledger_row.items else None
     writes.append(table.Write(key, value))
 
 
@@ -173,7 +175,7 @@
     for size in sizes:
         cores += size[0]
         memory += size[1]
-    return round(cores, DIGITS), round(memory, DIGITS)
+    return round(cores, ROUNDING_DIGITS), round(memory, ROUNDING_DIGITS)
 
 
 def _version(row: table.Row) -> int:
--- a/wigeonhitch/placement/stray.py
+++ b/wigeonhitch/placement/reassignment.py
@@ -2,50 +2,52 @@
 
 from typing import Protocol
 
-from wigeonhitch.placement import choose, job, state
+from wigeonhitch.placement import job, selection, state
 
-__all__ = ["rehome"]
+__all__ = ["reassign_starts"]
 
 
-class Place(Protocol):
+class PlacementRound(Protocol):
     """What is needed of a round of placing in one pool."""
 
-    shard: state.State
+    shard: state.ShardState
     pool: str
-    spots: dict[str, choose.Spot]
+    candidates: dict[str, selection.Candidate]
 
     def start(self, item: job.Job, vm: str, need: tuple[float, float]) -> job.Job:
         """Return the job as started on a worker."""
         ...
 
 
-def rehome(each: Place) -> int:
+def reassign_starts(pool_round: PlacementRound) -> int:
     """Give starts whose fate is not known another worker, under one name.
 
     The platform runs a task name once, so the same attempt may be started
     elsewhere even if the first call still arrives.
     """
-    shard = each.shard
+    shard = pool_round.shard
     count = 0
-    for name in _find_strays(shard, each.pool):
+    for name in _find_unconfirmed(shard, pool_round.pool):
         entry = shard.jobs[name]
         item = entry.job
         options = {"urgent": item.is_urgent, "rerun": item.asked.rerun}
         options |= {"crowd": {}, "avoid": (item.vm,)}
-        spot = choose.pick(each.spots.values(), (item.cores, item.memory), **options)
-        if spot is None:
+        candidate = selection.select_worker(
+            pool_round.candidates.values(), (item.cores, item.memory), **options
+        )
+        if candidate is None:
             entry.refused = False
             continue
-        spot.take(item.cores, item.memory)
+        candidate.allocate(item.cores, item.memory)
         entry.refused = False
         entry.retry_at = 0.0
         size = (item.cores, item.memory)
-        shard.change(entry, each.start(item, spot.vm, size))
+        shard.apply_change(entry, pool_round.start(item, candidate.vm, size))
         count += 1
     return count
 
 
-def _find_strays(shard: state.State, pool: str) -> list[str]:
+def _find_unconfirmed(shard: state.ShardState, pool: str) -> list[str]:
     found = []
     for vm, names in shard.on_vm.items():
         known = shard.vms.get(vm)
--- a/wigeonhitch/placement/retention.py
+++ b/wigeonhitch/placement/retention.py
@@ -4,21 +4,21 @@
 from wigeonhitch.placement import job, ledger
 from wigeonhitch.platform import table
 
-__all__ = ["BATCH", "DAY", "RETENTION", "Retention"]
+__all__ = ["MAX_JOBS_PER_COMMIT", "DAY_SECONDS", "RETENTION_SECONDS", "Retention"]
 
 PURPOSE = "retention"
-DAY = ledger.DAY
+DAY_SECONDS = ledger.DAY_SECONDS
 # Long enough for submitters to read an outcome after a week's holiday closing;
 # until then a repeated submission finds its job.
-RETENTION = 7 * DAY
+RETENTION_SECONDS = 7 * DAY_SECONDS
 # Each look reads the markers of one day, so that none reads those of the days
 # that are still kept; all days of the last fortnight have their turn in 14 h.
-PERIOD = 3600.0
-LOOK_BACK = 14
+SCAN_PERIOD_SECONDS = 3600.0
+SCANNED_DAYS = 14
 # A new holder has its live jobs to see to first.
-FIRST = 60.0
+FIRST_SCAN_DELAY_SECONDS = 60.0
 # Jobs in one commit, one commit a step: placing goes on in between.
-BATCH = 100
+MAX_JOBS_PER_COMMIT = 100
 
 
 class Retention:
@@ -35,14 +35,14 @@
     def __init__(self, store: table.Table, shard: int):
         self._table = store
         self._shard = shard
-        self._due: float | None = None
+        self._next_scan: float | None = None
         self._markers: list[str] = []
 
     def is_due(self, now: float) -> bool:
         """Whether there is anything to look for or to delete."""
-        if self._due is None:
-            self._due = now + FIRST
-        return bool(self._markers) or now >= self._due
+        if self._next_scan is None:
+            self._next_scan = now + FIRST_SCAN_DELAY_SECONDS
+        return bool(self._markers) or now >= self._next_scan
 
     async def sweep(self, held: lease.Lease, now: float) -> int:
         """Look for ended jobs, or delete a batch; return how many were deleted.
@@ -52,19 +52,22 @@
         if not self.is_due(now):
             return 0
         if not self._markers:
-            await self._look(now)
+            await self._scan_day(now)
             return 0
-        batch, self._markers = self._markers[:BATCH], self._markers[BATCH:]
+        batch, self._markers = (
+            self._markers[:MAX_JOBS_PER_COMMIT],
+            self._markers[MAX_JOBS_PER_COMMIT:],
+        )
         deleted = await self._delete(held, batch)
         if deleted is None:
             self._markers = []
         return deleted or 0
 
-    async def _look(self, now: float) -> None:
-        self._due = now + PERIOD
-        newest = int((now - RETENTION) // DAY) - 1
-        day = newest - int(now // PERIOD) % LOOK_BACK
-        prefix = f"{ledger.ENDED}{self._shard}/{day}/"
+    async def _scan_day(self, now: float) -> None:
+        self._next_scan = now + SCAN_PERIOD_SECONDS
+        newest = int((now - RETENTION_SECONDS) // DAY_SECONDS) - 1
+        day = newest - int(now // SCAN_PERIOD_SECONDS) % SCANNED_DAYS
+        prefix = f"{ledger.ENDED_PREFIX}{self._shard}/{day}/"
         found = await self._table.scan(prefix, purpose=PURPOSE)
         self._markers = [row.key for row in found.rows]
 
--- a/wigeonhitch/placement/routes.py
+++ b/wigeonhitch/placement/routes.py
@@ -12,16 +12,18 @@
 PURPOSE = "jobs"
 # Jobs cancelled by one request, and by one commit: a wave of thousands costs a
 # read and a few commits for each request instead of two calls for each job.
-CANCEL_REQUEST = 1000
-CANCEL_COMMIT = 100
-TRIES = 4
-LISTED = 1000
+MAX_CANCELS_PER_REQUEST = 1000
+MAX_CANCELS_PER_COMMIT = 100
+MAX_CANCEL_TRIES = 4
+MAX_LISTED_JOBS = 1000
 
 S = job.JobState
 DONE = table.Outcome.DONE
 UNKNOWN = table.Outcome.UNKNOWN
-BUSY = route.Answer(503, {"error": "not done, the table is unreachable"})
-UNSURE = route.Answer(504, {"error": "unknown whether done: repeat with the same id"})
+TABLE_UNREACHABLE = route.Answer(503, {"error": "not done, the table is unreachable"})
+OUTCOME_UNKNOWN = route.Answer(
+    504, {"error": "unknown whether done: repeat with the same id"}
+)
 
 
 class JobRoutes:
@@ -57,11 +59,11 @@
         key = f"{job.PREFIX}{asked.team}/{asked.id}"
         read = await self._table.read([key], purpose=PURPOSE)
         if read.outcome is not DONE:
-            return BUSY
+            return TABLE_UNREACHABLE
         if read.rows[0].value is not None:
-            return _compare(asked, read.rows[0])
+            return _answer_repeat(asked, read.rows[0])
         new = job.make_job(asked, read.time)
-        writes = [table.Write(key, job.encode(new)), *self._mark(new)]
+        writes = [table.Write(key, job.encode(new)), *self._make_signal_writes(new)]
         result = await self._table.commit(
             [table.Condition(key, 0)], writes, purpose=PURPOSE
         )
@@ -69,10 +71,12 @@
             return route.Answer(202, describe(new))
         for row in result.conflicts:
             if row.value is not None:
-                return _compare(asked, row)
-        return UNSURE if result.outcome is UNKNOWN else BUSY
+                return _answer_repeat(asked, row)
+        return OUTCOME_UNKNOWN if result.outcome is UNKNOWN else TABLE_UNREACHABLE
 
-    def _mark(self, item: job.Job, *, ended: bool = False) -> list[table.Write]:
+    def _make_signal_writes(
+        self, item: job.Job, *, ended: bool = False
+    ) -> list[table.Write]:
         """Return the writes that tell the shard of a job of its change."""
         shard = view.find_shard(item.asked.pool, self._shards)
         value = None if ended else {}
@@ -88,18 +92,18 @@
         prefix = f"{job.PREFIX}{team}/" if team else job.PREFIX
         read = await self._table.scan(prefix, purpose=PURPOSE)
         if read.outcome is not DONE:
-            return BUSY
+            return TABLE_UNREACHABLE
         wanted = request.query.get("state", "")
         jobs = [job.decode(row.value) for row in read.rows if row.value is not None]
         found = [item for item in jobs if wanted in ("", item.state.value)]
-        listed = [_summarize(item) for item in found[:LISTED]]
+        listed = [_summarize(item) for item in found[:MAX_LISTED_JOBS]]
         return route.Answer(200, {"jobs": listed, "count": len(found)})
 
     async def show(self, request: route.Request) -> route.Answer:
         """Show one job: where it stands, why it waits, and since when."""
         read = await self._read(request.path["team"], [request.path["job"]])
         if read.outcome is not DONE:
-            return BUSY
+            return TABLE_UNREACHABLE
         row = read.rows[0]
         if row.value is None:
             return route.Answer(404, {"error": f"no job {row.key!r}"})
@@ -120,8 +124,8 @@
         """Cancel the jobs named in ``{"jobs": [...]}`` of one team."""
         names = request.body.get("jobs") if isinstance(request.body, dict) else None
         good = isinstance(names, list) and all(isinstance(n, str) for n in names)
-        if not good or len(names) > CANCEL_REQUEST:
-            text = f"expected jobs: a list of at most {CANCEL_REQUEST} job ids"
+        if not good or len(names) > MAX_CANCELS_PER_REQUEST:
+            text = f"expected jobs: a list of at most {MAX_CANCELS_PER_REQUEST} job ids"
             return route.Answer(400, {"error": text})
         return await self._cancel(request.path["team"], sorted(set(names)))
 
@@ -131,8 +135,8 @@
 
     async def _cancel(self, team: str, names: Sequence[str]) -> route.Answer:
         states: dict[str, str] = {}
-        for start in range(0, len(names), CANCEL_COMMIT):
-            chunk = names[start : start + CANCEL_COMMIT]
+        for start in range(0, len(names), MAX_CANCELS_PER_COMMIT):
+            chunk = names[start : start + MAX_CANCELS_PER_COMMIT]
             failure = await self._cancel_chunk(team, chunk, states)
             if failure is not None:
                 return route.Answer(failure.status, failure.body | {"jobs": states})
@@ -143,10 +147,10 @@
     ) -> route.Answer | None:
         """Cancel in one commit; tried again when a job moved meanwhile."""
         result = table.CommitResult(table.Outcome.NOT_DONE)
-        for _ in range(TRIES):
+        for _ in range(MAX_CANCEL_TRIES):
             read = await self._read(team, names)
             if read.outcome is not DONE:
-                return BUSY
+                return TABLE_UNREACHABLE
             conditions, writes = [], []
             for name, row in zip(names, read.rows, strict=True):
                 states[name] = self._plan_cancel(row, read.time, conditions, writes)
@@ -159,7 +163,7 @@
                 break
         for name in names:
             states.pop(name, None)
-        return UNSURE if result.outcome is UNKNOWN else BUSY
+        return OUTCOME_UNKNOWN if result.outcome is UNKNOWN else TABLE_UNREACHABLE
 
     def _plan_cancel(
         self,
@@ -187,11 +191,11 @@
             new = item._replace(cancel=True)
         conditions.append(table.Condition(row.key, row.version))
         writes.append(table.Write(row.key, job.encode(new)))
-        writes.extend(self._mark(new, ended=queued))
+        writes.extend(self._make_signal_writes(new, ended=queued))
         return "cancelled" if queued else "stopping"
 
 
-def _compare(asked: job.Submission, row: table.Row) -> route.Answer:
+def _answer_repeat(asked: job.Submission, row: table.Row) -> route.Answer:
     present = job.decode(row.value)
     if present.asked == asked:
         return route.Answer(200, describe(present))
--- a/wigeonhitch/placement/rows.py
+++ b/wigeonhitch/placement/rows.py
@@ -5,18 +5,18 @@
 from wigeonhitch.placement import core, job, ledger
 from wigeonhitch.platform import table
 
-__all__ = ["find_job", "read_jobs", "read_ledger"]
+__all__ = ["find_job_key", "read_jobs", "read_ledger"]
 
 PURPOSE = "placement"
-READ_CHUNK = 500
+MAX_ROWS_PER_READ = 500
 
 
-def find_job(marker: str) -> str:
+def find_job_key(marker: str) -> str:
     """Return the key of the job that a marker row names.
 
     Examples
     --------
-    >>> find_job("placing/3/coffee/one")
+    >>> find_job_key("placing/3/coffee/one")
     'job/coffee/one'
     """
     return job.PREFIX + marker.split("/", 2)[2]
@@ -24,8 +24,8 @@
 
 async def read_jobs(store: table.Table, target: core.Core, keys: Sequence[str]) -> bool:
     """Load rows by key; false when the table can't be read."""
-    for start in range(0, len(keys), READ_CHUNK):
-        chunk = keys[start : start + READ_CHUNK]
+    for start in range(0, len(keys), MAX_ROWS_PER_READ):
+        chunk = keys[start : start + MAX_ROWS_PER_READ]
         read = await store.read(chunk, purpose=PURPOSE)
         if read.outcome is not table.Outcome.DONE:
             return False
@@ -36,7 +36,7 @@
 async def read_ledger(store: table.Table, target: core.Core, since: int) -> int | None:
     """Load reservations and quotas; return the revision, None when that failed."""
     revisions = []
-    for prefix in (ledger.RESERVATION, ledger.QUOTA):
+    for prefix in (ledger.RESERVATION_PREFIX, ledger.QUOTA_PREFIX):
         read = await store.scan(prefix, purpose=PURPOSE, since=since)
         if read.outcome is not table.Outcome.DONE:
             return None
--- a/wigeonhitch/placement/runner.py
+++ b/wigeonhitch/placement/runner.py
@@ -43,41 +43,43 @@
         try:
             async with anyio.create_task_group() as group:
                 reader = signal.SignalReader(self._platform, self._shards)
-                keepers = []
+                controllers = []
                 for shard in range(self._shards):
-                    holder = controller.ShardController(
+                    shard_controller = controller.ShardController(
                         self._platform,
                         reader,
                         shard,
                         group.start_soon,
                         self.counters,
                     )
-                    keepers.append(holder)
-                    group.start_soon(holder.run)
-                group.start_soon(self._read, reader, keepers)
-                await _wake(reader, keepers)
+                    controllers.append(shard_controller)
+                    group.start_soon(shard_controller.run)
+                group.start_soon(self._read_signals, reader, controllers)
+                await _wake_controllers(reader, controllers)
         finally:
             for duty in duties:
                 self._platform.leases.unwant(duty)
 
-    async def _read(
-        self, reader: signal.SignalReader, keepers: Sequence[controller.ShardController]
+    async def _read_signals(
+        self,
+        reader: signal.SignalReader,
+        controllers: Sequence[controller.ShardController],
     ) -> None:
         """Read signals while any duty is held."""
         leases = self._platform.leases
         while True:
-            if any(leases.current(each.duty) for each in keepers):
+            if any(leases.current(each.duty) for each in controllers):
                 for shard in await reader.read():
-                    keepers[shard].wake()
+                    controllers[shard].wake()
             await anyio.sleep(POLL_SECONDS)
 
 
-async def _wake(
-    reader: signal.SignalReader, keepers: Sequence[controller.ShardController]
+async def _wake_controllers(
+    reader: signal.SignalReader, controllers: Sequence[controller.ShardController]
 ) -> None:
-    """Wake the keepers; apart from reading, as the table may be slow or down."""
+    """Wake the controllers; apart from reading, as the table may be slow or down."""
     while True:
         reader.clear_cache()
-        for each in keepers:
+        for each in controllers:
             each.wake()
         await anyio.sleep(POLL_SECONDS)
--- a/wigeonhitch/placement/choose.py
+++ b/wigeonhitch/placement/selection.py
@@ -5,15 +5,22 @@
 
 from wigeonhitch.placement import attempt
 
-__all__ = ["Spot", "Victim", "fits", "pick", "pick_victims", "slack_of"]
+__all__ = [
+    "Candidate",
+    "Victim",
+    "fits",
+    "select_worker",
+    "select_victims",
+    "find_slack",
+]
 
 EPSILON = 1e-6
 # Bulk that could not be resumed this long and still finish in time is left
 # alone, as urgent work must not cost a reconciliation its deadline.
-PAUSE = 120.0
+MIN_SLACK_SECONDS = 120.0
 
 
-class Spot:
+class Candidate:
     """Room on one worker during one round of placing."""
 
     __slots__ = ("busy", "cores", "domain", "memory", "trial", "vm")
@@ -26,7 +33,7 @@
         self.trial = False
         self.busy = False
 
-    def take(self, cores: float, memory: float) -> None:
+    def allocate(self, cores: float, memory: float) -> None:
         """Use up room."""
         self.cores -= cores
         self.memory -= memory
@@ -43,13 +50,13 @@
     slack: float
 
 
-def fits(spot: Spot, cores: float, memory: float) -> bool:
+def fits(candidate: Candidate, cores: float, memory: float) -> bool:
     """Whether the worker has room."""
-    return spot.cores + EPSILON >= cores and spot.memory + EPSILON >= memory
+    return candidate.cores + EPSILON >= cores and candidate.memory + EPSILON >= memory
 
 
-def pick(
-    spots: Iterable[Spot],
+def select_worker(
+    candidates: Iterable[Candidate],
     need: tuple[float, float],
     *,
     urgent: bool,
@@ -57,7 +64,7 @@
     crowd: Mapping[str, int],
     avoid: Sequence[str],
     held: str = "",
-) -> Spot | None:
+) -> Candidate | None:
     """Return the worker for a job, or None when none has room.
 
     Fewest jobs of the same group in the failure domain first, so that the loss
@@ -71,24 +78,24 @@
     """
     best = None
     best_rank: tuple[int, bool, bool, float] | None = None
-    for spot in spots:
-        if not fits(spot, *need) or spot.vm in avoid:
+    for candidate in candidates:
+        if not fits(candidate, *need) or candidate.vm in avoid:
             continue
-        if (spot.trial and (urgent or spot.busy or not rerun)) or (
-            spot.vm == held and not urgent
+        if (candidate.trial and (urgent or candidate.busy or not rerun)) or (
+            candidate.vm == held and not urgent
         ):
             continue
-        left = spot.cores - need[0] + (spot.memory - need[1]) / 4
-        last = spot.vm == held
+        left = candidate.cores - need[0] + (candidate.memory - need[1]) / 4
+        last = candidate.vm == held
         share = -left if urgent else left
-        rank = (crowd.get(spot.domain, 0), last, not spot.trial, share)
+        rank = (crowd.get(candidate.domain, 0), last, not candidate.trial, share)
         if best_rank is None or rank < best_rank:
-            best, best_rank = spot, rank
+            best, best_rank = candidate, rank
     return best
 
 
-def pick_victims(
-    spots: Iterable[Spot],
+def select_victims(
+    candidates: Iterable[Candidate],
     victims: Mapping[str, Sequence[Victim]],
     need: tuple[float, float],
     avoid: Sequence[str],
@@ -100,22 +107,22 @@
     whose deadline the pause would break.
     """
     best: tuple[str, list[str]] | None = None
-    for spot in spots:
-        if spot.vm in avoid or spot.trial:
+    for candidate in candidates:
+        if candidate.vm in avoid or candidate.trial:
             continue
-        chosen = _fill(spot, victims.get(spot.vm, ()), need)
+        chosen = _choose_victims(candidate, victims.get(candidate.vm, ()), need)
         if chosen and (best is None or len(chosen) < len(best[1])):
-            best = (spot.vm, chosen)
+            best = (candidate.vm, chosen)
     return best
 
 
-def _fill(
-    spot: Spot, victims: Sequence[Victim], need: tuple[float, float]
+def _choose_victims(
+    candidate: Candidate, victims: Sequence[Victim], need: tuple[float, float]
 ) -> list[str]:
-    cores, memory = spot.cores, spot.memory
+    cores, memory = candidate.cores, candidate.memory
     chosen = []
     for victim in sorted(victims, key=lambda item: -item.slack):
-        if 0 <= victim.slack < PAUSE:
+        if 0 <= victim.slack < MIN_SLACK_SECONDS:
             continue
         chosen.append(victim.name)
         cores += victim.cores
@@ -125,7 +132,7 @@
     return []
 
 
-def slack_of(entry: attempt.Attempt, now: float) -> float:
+def find_slack(entry: attempt.Attempt, now: float) -> float:
     """Return the seconds a running job could pause; negative when late."""
     done = entry.seen.progress if entry.seen is not None else 0.0
     left = entry.job.asked.duration * (1.0 - min(1.0, done))
--- a/wigeonhitch/placement/signal.py
+++ b/wigeonhitch/placement/signal.py
@@ -42,28 +42,28 @@
 
     Attributes
     ----------
-    moved : dict of int to int
+    revisions : dict of int to int
         Revision of the last signal of each shard.
     """
 
     def __init__(self, platform: message.Platform, shards: int):
         self._platform = platform
         self._shards = shards
-        self._since = 0
+        self._revision = 0
         self._pools: dict[str, int] = {}
         self._vms: dict[int, list[view.Vm]] | None = None
-        self.moved: dict[int, int] = {}
+        self.revisions: dict[int, int] = {}
 
     async def read(self) -> list[int]:
         """Return the shards whose signals moved; none while the table is down."""
         found = await self._platform.table.scan(
-            PREFIX, purpose=PURPOSE, since=self._since
+            PREFIX, purpose=PURPOSE, since=self._revision
         )
         if found.outcome is not table.Outcome.DONE:
             return []
         moved = [int(row.key.removeprefix(PREFIX)) for row in found.rows]
-        self.moved |= zip(moved, (row.version for row in found.rows), strict=True)
-        self._since = max(self._since, found.revision)
+        self.revisions |= zip(moved, (row.version for row in found.rows), strict=True)
+        self._revision = max(self._revision, found.revision)
         return [shard for shard in moved if shard < self._shards]
 
     def clear_cache(self) -> None:
--- a/wigeonhitch/placement/size.py
+++ b/wigeonhitch/placement/size.py
@@ -9,27 +9,27 @@
 __all__ = ["SizeEstimator"]
 
 # Enough peaks that the 95th percentile is not just the highest; at 16 bytes a
-# peak and KINDS kinds the whole learner stays under 10 MB.
-PEAKS = 64
-KINDS = 4096
+# peak and MAX_KINDS kinds the whole learner stays under 10 MB.
+MAX_PEAKS = 64
+MAX_KINDS = 4096
 # Below this the declared size stays the lower limit. A kind that is declared ten
 # times too large has few jobs running at once, so waiting for more peaks keeps
-# workers idle for long; FEW widens the margin for few peaks instead.
-ENOUGH = 4
-FEW = 0.6
+# workers idle for long; FEW_PEAKS_MARGIN widens the margin for few peaks instead.
+MIN_PEAKS = 4
+FEW_PEAKS_MARGIN = 0.6
 # One attempt in twenty meets a size above the estimate; what it does not cover
 # is caught by checkpointing bulk before the VM is out of memory.
-QUANTILE = 0.95
+PEAK_QUANTILE = 0.95
 # Usage is sampled seconds apart, so a true peak lies above the seen one. Memory
 # only: a job short of cores is slower, and one that takes all the cores it gets
 # would be given more and more of them.
-MARGIN = 1.15
+MEMORY_MARGIN = 1.15
 # Cores are raised step by step while that makes the kind's jobs faster by at
 # least a tenth: some use whatever they get and are done no sooner.
-GROWTH = 1.5
-FASTER = 0.9
-RUNS = 4
-LEVELS = 8
+CORES_GROWTH_FACTOR = 1.5
+MAX_RUN_TIME_RATIO = 0.9
+RUNS_PER_LEVEL = 4
+MAX_LEVELS = 8
 
 
 class Peaks(NamedTuple):
@@ -55,28 +55,28 @@
     def __init__(self, enabled: bool = True):
         self._enabled = enabled
         self._peaks: OrderedDict[str, Peaks] = collections.OrderedDict()
-        self._runs: dict[str, dict[float, list[float]]] = {}
-        self._most: dict[str, float] = {}
+        self._run_ratios: dict[str, dict[float, list[float]]] = {}
+        self._max_cores: dict[str, float] = {}
 
     def add_cores(self, kind: str, cores: float) -> None:
         """Add the cores that one attempt used or could have used."""
-        self._find(kind).cores.append(cores)
+        self._get_peaks(kind).cores.append(cores)
 
     def add_memory(self, kind: str, memory: float) -> None:
         """Add the peak memory of one attempt, GB."""
-        self._find(kind).memory.append(memory)
+        self._get_peaks(kind).memory.append(memory)
 
-    def _find(self, kind: str) -> "Peaks":
+    def _get_peaks(self, kind: str) -> "Peaks":
         if kind not in self._peaks:
-            self._peaks[kind] = Peaks(*(deque(maxlen=PEAKS) for _ in range(2)))
+            self._peaks[kind] = Peaks(*(deque(maxlen=MAX_PEAKS) for _ in range(2)))
         self._peaks.move_to_end(kind)
-        if len(self._peaks) > KINDS:
+        if len(self._peaks) > MAX_KINDS:
             oldest, _ = self._peaks.popitem(last=False)
-            self._runs.pop(oldest, None)
-            self._most.pop(oldest, None)
+            self._run_ratios.pop(oldest, None)
+            self._max_cores.pop(oldest, None)
         return self._peaks[kind]
 
-    def note_full(self, kind: str, cores: float, ratio: float) -> float:
+    def record_saturated(self, kind: str, cores: float, ratio: float) -> float:
         """Note a job that used all its cores; return what to learn from it.
 
         Parameters
@@ -88,25 +88,29 @@
         ratio : float
             Its run time over the expected one.
         """
-        runs = self._runs.setdefault(kind, {})
+        runs = self._run_ratios.setdefault(kind, {})
         runs.setdefault(cores, []).append(ratio)
-        if len(runs) > LEVELS:
+        if len(runs) > MAX_LEVELS:
             del runs[min(runs)]
-        known = {level: times for level, times in runs.items() if len(times) >= RUNS}
+        known = {
+            level: times
+            for level, times in runs.items()
+            if len(times) >= RUNS_PER_LEVEL
+        }
         below = [level for level in known if level < cores]
         if cores in known and below:
-            before = known[max(below)][-RUNS:]
-            if sum(runs[cores][-RUNS:]) > FASTER * sum(before):
-                self._most.setdefault(kind, max(below))
-        runs[cores] = runs[cores][-RUNS:]
-        return min(GROWTH * cores, self._most.get(kind, math.inf))
+            before = known[max(below)][-RUNS_PER_LEVEL:]
+            if sum(runs[cores][-RUNS_PER_LEVEL:]) > MAX_RUN_TIME_RATIO * sum(before):
+                self._max_cores.setdefault(kind, max(below))
+        runs[cores] = runs[cores][-RUNS_PER_LEVEL:]
+        return min(CORES_GROWTH_FACTOR * cores, self._max_cores.get(kind, math.inf))
 
-    def is_sure(self, kind: str) -> bool:
+    def is_confident(self, kind: str) -> bool:
         """Whether enough peaks were seen to set the declared size aside."""
         peaks = self._peaks.get(kind)
         if not self._enabled or peaks is None:
             return False
-        return min(len(peaks.cores), len(peaks.memory)) >= ENOUGH
+        return min(len(peaks.cores), len(peaks.memory)) >= MIN_PEAKS
 
     def estimate(self, kind: str, cores: float, memory: float) -> tuple[float, float]:
         """Return the cores and memory to reserve for a job.
@@ -132,19 +136,19 @@
         peaks = self._peaks.get(kind)
         if not self._enabled or peaks is None:
             return cores, memory
-        most = self._most.get(kind, math.inf)
+        most = self._max_cores.get(kind, math.inf)
         learned = min(most, _quantile(peaks.cores)) if peaks.cores else cores
-        if len(peaks.cores) < ENOUGH:
+        if len(peaks.cores) < MIN_PEAKS:
             learned = max(cores, learned)
         if not peaks.memory:
             return round(learned, 3), memory
-        margin = MARGIN + FEW / len(peaks.memory)
+        margin = MEMORY_MARGIN + FEW_PEAKS_MARGIN / len(peaks.memory)
         needed = margin * _quantile(peaks.memory)
-        if len(peaks.memory) < ENOUGH:
+        if len(peaks.memory) < MIN_PEAKS:
             needed = max(memory, needed)
         return round(learned, 3), round(needed, 3)
 
 
 def _quantile(values: Iterable[float]) -> float:
     ordered = sorted(values)
-    return ordered[math.ceil(QUANTILE * len(ordered)) - 1]
+    return ordered[math.ceil(PEAK_QUANTILE * len(ordered)) - 1]
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -1,7 +1,7 @@
 """Everything that one holder of a placement duty knows, and how it changes.
 
-Decisions change jobs only through `State.change`, which keeps the queues, the
-reservations and the quotas in step and remembers what to commit.
+Decisions change jobs only through `ShardState.apply_change`, which keeps the
+queues, the reservations and the quotas in step and remembers what to commit.
 """
 
 import collections
@@ -18,15 +18,15 @@
     view,
 )
 
-__all__ = ["State"]
+__all__ = ["ShardState"]
 
 # Least cores and memory (GB) of a reservation: smaller ones gain next to nothing
 # in packing, and a job declared ten times too small would run for hours.
-LEAST = (0.5, 0.5)
+MIN_SIZE = (0.5, 0.5)
 QUEUED = job.JobState.QUEUED
 
 
-class State:
+class ShardState:
     """Live jobs, workers, rows and lessons of one shard.
 
     Parameters
@@ -35,7 +35,7 @@
         Number of the shard.
     fence : int
         Fencing token of the duty lease.
-    learner, wary : optional
+    estimator, worker_quarantine : optional
         Learned sizes and quarantine.
     """
 
@@ -43,35 +43,35 @@
         self,
         shard: int,
         fence: int,
-        learner: size.SizeEstimator | None = None,
-        wary: quarantine.Quarantine | None = None,
+        estimator: size.SizeEstimator | None = None,
+        worker_quarantine: quarantine.Quarantine | None = None,
     ):
         self.shard = shard
         self.fence = fence
-        self.learner = learner or size.SizeEstimator()
-        self.quarantine = wary or quarantine.Quarantine()
+        self.estimator = estimator or size.SizeEstimator()
+        self.quarantine = worker_quarantine or quarantine.Quarantine()
         self.jobs: dict[str, attempt.Attempt] = {}
         self.ledger = ledger.Ledger()
         self.backlog = backlog.Backlog()
         self.policy: view.Policy | None = None
         self.vms: dict[str, view.Vm] = {}
         self.pools: dict[str, list[str]] = {}
-        self.left_at: dict[str, float] = {}
-        self.cooling: dict[str, float] = {}
+        self.unusable_since: dict[str, float] = {}
+        self.cooldown_until: dict[str, float] = {}
         self.overrun: dict[str, tuple[float, float]] = {}
         self.on_vm: dict[str, set[str]] = collections.defaultdict(set)
         self.groups: dict[tuple[str, str], set[str]] = collections.defaultdict(set)
-        self.unsettled: set[str] = set()
-        self.pending: set[str] = set()
-        self.dirty: set[str] = set()
-        self.retry_at: dict[str, float] = {}
-        self.turns: collections.Counter[str] = collections.Counter()
-        self.holds: dict[str, tuple[str, str]] = {}
-        self.claims: dict[str, tuple[float, list[str]]] = {}
+        self.unreconciled: set[str] = set()
+        self.pending_calls: set[str] = set()
+        self.dirty_pools: set[str] = set()
+        self.pool_retry_at: dict[str, float] = {}
+        self.start_counts: collections.Counter[str] = collections.Counter()
+        self.held_workers: dict[str, tuple[str, str]] = {}
+        self.preemptions: dict[str, tuple[float, list[str]]] = {}
         self.counters: collections.Counter[str] = collections.Counter()
         self._changed: dict[str, job.Job] = {}
 
-    def put(self, item: job.Job, version: int) -> None:
+    def load_job(self, item: job.Job, version: int) -> None:
         """Take over a job as read; the rows of the ledger come on their own."""
         entry = self.jobs.get(item.name)
         if entry is not None and version <= entry.version:
@@ -84,21 +84,21 @@
         entry.version = version
         self._replace(entry, item)
 
-    def drop(self, name: str) -> None:
+    def drop_job(self, name: str) -> None:
         """Forget a job whose row is gone."""
         entry = self.jobs.pop(name, None)
         if entry is not None:
             self._unindex(entry.job)
-            self.dirty.add(entry.job.asked.pool)
+            self.dirty_pools.add(entry.job.asked.pool)
 
-    def change(self, entry: attempt.Attempt, new: job.Job) -> None:
+    def apply_change(self, entry: attempt.Attempt, new: job.Job) -> None:
         """Decide a change of a job: applied here now, committed next."""
         old = entry.job
         self._changed.setdefault(old.name, old)
-        self.ledger.move(old, new)
+        self.ledger.apply_change(old, new)
         self._replace(entry, new)
 
-    def seal(self) -> ledger.Batch | None:
+    def take_batch(self) -> ledger.Batch | None:
         """Return the commit of all changes since the last one, or None."""
         if not self._changed:
             return None
@@ -117,37 +117,37 @@
             entry.version = revision
             if entry.job.state in job.ENDED:
                 self.counters[entry.job.state.value] += 1
-                self.drop(name)
+                self.drop_job(name)
             else:
-                self.pending.add(name)
+                self.pending_calls.add(name)
 
     def undo(self, batch: ledger.Batch) -> None:
         """Take back a commit that did not take effect, or may not have."""
         for name, old in batch.before.items():
             entry = self.jobs[name]
-            self.ledger.move(entry.job, old)
+            self.ledger.apply_change(entry.job, old)
             self._replace(entry, old)
 
     def _replace(self, entry: attempt.Attempt, new: job.Job) -> None:
         old = entry.job
         self._unindex(old)
-        if old.holds and not new.holds:
-            self.dirty.add(old.asked.pool)
+        if old.holds_reservation and not new.holds_reservation:
+            self.dirty_pools.add(old.asked.pool)
         entry.job = new
         if (new.attempt, new.vm) != (old.attempt, old.vm) and (
             new.attempt != old.attempt or old.state is QUEUED
         ):
-            entry.begin(unsure=new.state in job.HOLDING and new.fence != self.fence)
+            entry.reset(unsure=new.state in job.HOLDING and new.fence != self.fence)
         self._index(new)
 
     def _index(self, item: job.Job) -> None:
-        self.unsettled.add(item.name)
+        self.unreconciled.add(item.name)
         if item.state is QUEUED:
             self.backlog.add(item)
-            self.dirty.add(item.asked.pool)
+            self.dirty_pools.add(item.asked.pool)
         elif item.state in job.HOLDING:
             self.on_vm[item.vm].add(item.name)
-            self.pending.add(item.name)
+            self.pending_calls.add(item.name)
             if item.asked.spread:
                 self.groups[(item.asked.pool, item.asked.spread)].add(item.name)
 
@@ -166,33 +166,33 @@
         """Take the present view of the workers."""
         seen = {vm.vm: vm for vm in vms}
         if seen != self.vms:
-            self.dirty.update(vm.pool for vm in seen.values())
+            self.dirty_pools.update(vm.pool for vm in seen.values())
         self.vms = seen
         self.pools = {}
         for vm in self.vms.values():
             self.pools.setdefault(vm.pool, []).append(vm.vm)
         usable = {vm.vm for vm in self.vms.values() if vm.usable}
         gone = {vm for vm, names in self.on_vm.items() if names and vm not in usable}
-        self.left_at = {vm: self.left_at.get(vm, now) for vm in gone}
+        self.unusable_since = {vm: self.unusable_since.get(vm, now) for vm in gone}
         for vm in gone:
-            self.unsettled |= self.on_vm[vm]
-        self.quarantine.keep(self.vms)
+            self.unreconciled |= self.on_vm[vm]
+        self.quarantine.prune(self.vms)
         for vm in [vm for vm, names in self.on_vm.items() if not names]:
             del self.on_vm[vm]
             self.overrun.pop(vm, None)
 
-    def measure(self, vms: Iterable[str]) -> None:
+    def update_overrun(self, vms: Iterable[str]) -> None:
         """Work out by how much the tasks of workers exceed their reservations."""
         for vm in vms:
             cores = memory = 0.0
             for name in self.on_vm.get(vm, ()):
                 entry = self.jobs[name]
-                if entry.job.holds and entry.is_alive:
+                if entry.job.holds_reservation and entry.is_alive:
                     cores += max(0.0, entry.seen.used_cores - entry.job.cores)
                     memory += max(0.0, entry.seen.used_memory - entry.job.memory)
             self.overrun[vm] = (cores, memory)
 
-    def room(self, vm: str) -> tuple[float, float]:
+    def free_capacity(self, vm: str) -> tuple[float, float]:
         """Return free cores and memory: neither reserved nor used beyond that."""
         capacity = self.vms[vm]
         held = self.ledger.reservation(vm).total
@@ -202,7 +202,7 @@
             capacity.memory - held[1] - over[1],
         )
 
-    def need(self, item: job.Job) -> tuple[float, float]:
+    def required_size(self, item: job.Job) -> tuple[float, float]:
         """Return what to reserve for a job: learned, never above what can be had.
 
         A learned size above the largest worker or the whole quota would hold
@@ -210,14 +210,14 @@
         memory raises ``floor``.
         """
         asked = item.asked
-        family = asked.family
-        cores, memory = self.learner.estimate(family, asked.cores, asked.memory)
-        cores = max(cores, LEAST[0])
-        memory = max(memory, item.floor, LEAST[1])
-        limits = self.limits(item)
+        family = asked.sizing_key
+        cores, memory = self.estimator.estimate(family, asked.cores, asked.memory)
+        cores = max(cores, MIN_SIZE[0])
+        memory = max(memory, item.floor, MIN_SIZE[1])
+        limits = self.max_size(item)
         return min(cores, limits[0]), min(memory, limits[1])
 
-    def limits(self, item: job.Job) -> tuple[float, float]:
+    def max_size(self, item: job.Job) -> tuple[float, float]:
         """Return the most that a job can ever be given."""
         sizes = [
             self.policy.kinds.get(item.asked.pool),
@@ -227,7 +227,7 @@
         cores = min((size.cores for size in known), default=math.inf)
         return cores, min((size.memory for size in known), default=math.inf)
 
-    def domain(self, vm: str) -> str:
+    def failure_domain(self, vm: str) -> str:
         """Return the failure domain of a worker, as its pool counts them."""
         item = self.vms.get(vm)
         if item is None:
@@ -235,9 +235,9 @@
         spread = self.policy.spread.get(item.pool, "rack")
         return item.rack if spread == "rack" else item.data_centre
 
-    def crowd(self, item: job.Job) -> Mapping[str, int]:
+    def count_by_domain(self, item: job.Job) -> Mapping[str, int]:
         """Return how many jobs of the same spread group each domain has."""
         names = self.groups.get((item.asked.pool, item.asked.spread), ())
         return collections.Counter(
-            self.domain(self.jobs[name].job.vm) for name in names
+            self.failure_domain(self.jobs[name].job.vm) for name in names
         )
--- a/wigeonhitch/placement/tests/conftest.py
+++ b/wigeonhitch/placement/tests/conftest.py
@@ -67,7 +67,7 @@
         self.plan = make_document(quota)
         self.unusable = set()
         self.stale_view = None
-        self.keepers = {}
+        self.controllers = {}
         self.readers = {}
         self.waiting = collections.defaultdict(list)
         self.counters = collections.Counter()
@@ -81,9 +81,9 @@
             for vm, machine in self.fake.engine.fleet.live.items()
         ]
 
-    def keep(self, daemon):
+    def get_controller(self, daemon):
         """Return the keeper of a daemon, made on first use."""
-        if daemon not in self.keepers:
+        if daemon not in self.controllers:
             client = self.fake.build_client(daemon)
             platform = message.Platform(
                 client,
@@ -95,34 +95,34 @@
             )
             queue = self.waiting[daemon]
             self.readers[daemon] = signal.SignalReader(platform, shards=1)
-            self.keepers[daemon] = controller.ShardController(
+            self.controllers[daemon] = controller.ShardController(
                 platform,
                 self.readers[daemon],
                 0,
                 lambda function, *args: queue.append((function, args)),
                 self.counters,
             )
-        return self.keepers[daemon]
+        return self.controllers[daemon]
 
     def take_duty(self, daemon, freeze_others=False):
         """Let a daemon take the duty over; others notice unless frozen."""
         duty = view.duty_name(0)
-        self.keep(daemon)
+        self.get_controller(daemon)
         key = f"duty/{duty}"
         store = self.fake.engine.store
         (row,) = store.read([key])
         condition = table.Condition(key, row.version)
         write = table.Write(key, {"holder": daemon})
         store.commit([condition], [write], "", self.fake.now)
-        for name, each in self.keepers.items():
+        for name, each in self.controllers.items():
             if name != daemon and not freeze_others:
                 each._platform.leases.held.clear()
         fresh = lease.Lease(duty, store.revision, float("inf"))
-        self.keepers[daemon]._platform.leases.held[duty] = fresh
+        self.controllers[daemon]._platform.leases.held[duty] = fresh
 
     def step(self, daemon, calls=True):
         """Let a daemon decide once, and make its calls unless it is paused."""
-        subject = self.keep(daemon)
+        subject = self.get_controller(daemon)
         fake.run(self.readers[daemon].read())
         self.readers[daemon].clear_cache()
         fake.run(subject.step())
@@ -134,7 +134,7 @@
         for function, args in waiting:
             fake.run(function(*args))
 
-    def play(self, daemon, seconds, step=0.5):
+    def run_for(self, daemon, seconds, step=0.5):
         for _ in range(int(seconds / step)):
             self.step(daemon)
             self.fake.advance(step)
@@ -153,7 +153,7 @@
         return job.decode(row.value)
 
     def close(self):
-        for each in self.keepers.values():
+        for each in self.controllers.values():
             each.close()
 
 
--- a/wigeonhitch/placement/tests/test_controller.py
+++ b/wigeonhitch/placement/tests/test_controller.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wigeonhitch.placement import attempt, calls, job, settle
+from wigeonhitch.placement import attempt, calls, job, reconciliation
 from wigeonhitch.platform import table
 
 S = job.JobState
@@ -20,10 +20,10 @@
 
 def test_a_submitted_job_is_placed_runs_and_finishes(world):
     assert world.submit("one").status == 202
-    world.play("d1", 2)
+    world.run_for("d1", 2)
     running = world.read_job("one")
     assert running.state is S.RUNNING
-    world.play("d1", 40)
+    world.run_for("d1", 40)
     assert world.read_job("one").state is S.FINISHED
     assert world.fake.engine.store.read([f"reservation/{running.vm}"])[0].value is None
     assert [run["task"] for run in log(world)] == ["coffee/one/1"]
@@ -32,7 +32,7 @@
 def test_a_lost_start_answer_is_resolved_under_the_same_name(world):
     world.submit("one")
     world.fake.switch(lose={"prefix": "/tasks", "next": 8})
-    world.play("d1", 40)
+    world.run_for("d1", 40)
     assert world.read_job("one").state is S.FINISHED
     assert [run["task"] for run in log(world)] == ["coffee/one/1"]
 
@@ -44,7 +44,7 @@
     vm = world.read_job("one").vm
     world.fake.switch(late=None)
     world.fake.engine.fleet.reboot(vm, 0, world.fake.now)
-    world.play("d1", 60)
+    world.run_for("d1", 60)
     assert len(log(world)) == 1
     assert world.read_job("one").state is S.RUNNING
     assert world.read_job("one").vm == log(world)[0]["vm"] != vm
@@ -58,7 +58,7 @@
     vm = world.read_job("one").vm
     world.fake.switch(late=None)
     world.fake.engine.fleet.reboot(vm, 0, world.fake.now)
-    world.play("d1", 4)
+    world.run_for("d1", 4)
     world.fake.advance(60.0)
     assert [run["task"] for run in log(world)] == ["coffee/one/1"]
 
@@ -66,11 +66,11 @@
 def test_a_holder_whose_lease_lapsed_before_the_call_does_not_make_it(world):
     world.submit("one")
     world.step("d1", calls=False)
-    world.keep("d1")._platform.leases.held.clear()
+    world.get_controller("d1")._platform.leases.held.clear()
     world.make_calls("d1")
     assert log(world) == []
     world.take_duty("d2")
-    world.play("d2", 40)
+    world.run_for("d2", 40)
     assert world.read_job("one").state is S.FINISHED
 
 
@@ -79,47 +79,47 @@
     world.submit("two")
     world.step("d1", calls=False)
     world.take_duty("d2", freeze_others=True)
-    world.play("d2", 3)
+    world.run_for("d2", 3)
     world.make_calls("d1")
     world.submit("three")
-    world.play("d1", 3)
+    world.run_for("d1", 3)
     assert world.read_job("three").state is S.QUEUED
-    world.play("d2", 60)
+    world.run_for("d2", 60)
     assert sorted(run["task"] for run in log(world)) == [
         "coffee/one/1",
         "coffee/three/1",
         "coffee/two/1",
     ]
     fences = {run["fence"] for run in log(world)}
-    assert fences == {world.keep("d2").fence}
+    assert fences == {world.get_controller("d2").fence}
 
 
 def test_an_unlisted_task_is_started_anew_only_after_its_lease(world, monkeypatch):
     world.submit("one", work={"duration": 500.0})
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     hide_tasks(world, monkeypatch)
-    world.play("d1", attempt.LEASE - 20)
+    world.run_for("d1", attempt.TASK_LEASE_SECONDS - 20)
     assert len(log(world)) == 1
-    world.play("d1", 60)
+    world.run_for("d1", 60)
     first, second = log(world)
-    assert second["started"] >= first["ended"] + attempt.MARGIN - 1
+    assert second["started"] >= first["ended"] + attempt.LEASE_MARGIN_SECONDS - 1
 
 
 def test_a_holder_that_could_not_show_its_token_does_not_count_the_lease(
     world, monkeypatch
 ):
     world.submit("one", work={"duration": 500.0})
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     world.take_duty("d2", freeze_others=True)
     hide_tasks(world, monkeypatch)
-    old = world.keep("d1")
+    old = world.get_controller("d1")
     task = log(world)[0]["task"]
     never = {"prefix": "/tasks/renew", "every": 1, "seconds": 10_000.0}
     for _ in range(20):
         world.fake.switch(late=never)
         world.make_calls("d2")
         world.fake.switch(late=None)
-        old._spawn(old._call_renew, old.fence, (task,))
+        old._spawn(old._renew_tasks, old.fence, (task,))
         world.make_calls("d1")
         world.step("d2", calls=False)
         world.fake.advance(10.0)
@@ -128,7 +128,7 @@
 
 def test_a_start_follows_only_a_committed_row(world, monkeypatch):
     world.submit("one")
-    client = world.keep("d1")._platform.table
+    client = world.get_controller("d1")._platform.table
     commit = client.commit
 
     async def cancel_first(conditions, writes, **fields):
@@ -137,14 +137,14 @@
         return await commit(conditions, writes, **fields)
 
     monkeypatch.setattr(client, "commit", cancel_first)
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     assert world.read_job("one").state is S.CANCELLED
     assert log(world) == []
 
 
 def test_a_commit_that_conflicts_on_the_quota_starts_nothing(world, monkeypatch):
     world.submit("one")
-    client = world.keep("d1")._platform.table
+    client = world.get_controller("d1")._platform.table
     commit = client.commit
     store = world.fake.engine.store
 
@@ -155,7 +155,7 @@
         return await commit(conditions, writes, **fields)
 
     monkeypatch.setattr(client, "commit", use_up_first)
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     assert world.read_job("one").state is S.QUEUED
     assert log(world) == []
 
@@ -165,7 +165,7 @@
     world.step("d1")
     world.submit("two")
     world.fake.switch(lose={"prefix": "/table/commit", "next": 9})
-    world.play("d1", 60)
+    world.run_for("d1", 60)
     assert world.read_job("two").state is S.FINISHED
     assert len(log(world)) == 2
 
@@ -175,41 +175,41 @@
     used = table.Write("quota/coffee", {"pools": {"portal": [62.0, 8.0]}})
     store.commit([table.Condition("quota/coffee", 0)], [used], "", world.fake.now)
     world.submit("one")
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     assert world.read_job("one").state is S.QUEUED
     row = store.read(["quota/coffee"])[0]
     freed = table.Write("quota/coffee", None)
     store.commit([table.Condition("quota/coffee", row.version)], [freed], "", 0.0)
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     assert world.read_job("one").state is S.RUNNING
 
 
 def test_sizes_of_bulk_are_not_learned_for_urgent_jobs_without_a_kind(world):
     for number in range(5):
         world.submit(f"bulk{number}", cores=16.0)
-    world.play("d1", 120)
+    world.run_for("d1", 120)
     assert world.read_job("bulk4").state is S.FINISHED
     world.submit("urgent", urgency="urgent")
-    world.play("d1", 2)
+    world.run_for("d1", 2)
     assert world.read_job("urgent").cores == 4.0
 
 
 def test_ended_tasks_free_their_quota_for_urgent_work_within_a_second(world):
     world.submit("first", cores=32.0, work={"duration": 6.0})
     world.submit("second", cores=32.0, work={"duration": 6.0})
-    world.play("d1", 5)
+    world.run_for("d1", 5)
     world.submit("urgent", urgency="urgent")
-    world.play("d1", 3)
+    world.run_for("d1", 3)
     assert world.read_job("urgent").state is S.RUNNING
 
 
 def test_a_job_that_must_not_run_twice_ends_with_its_lost_worker(world):
     world.submit("one", rerun=False, work={"duration": 500.0})
     world.submit("two", work={"duration": 500.0})
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     for vm in {world.read_job(name).vm for name in ("one", "two")}:
         world.fake.engine.fleet.reboot(vm, 0, world.fake.now)
-    world.play("d1", 20)
+    world.run_for("d1", 20)
     assert world.read_job("one").state is S.FAILED
     assert world.read_job("one").reason == "may have run: vm lost"
     assert world.read_job("two").attempt == 2
@@ -218,23 +218,23 @@
 def test_a_job_that_must_not_run_twice_holds_up_a_drain_and_says_so(world):
     world.submit("one", rerun=False, work={"duration": 500.0})
     world.submit("two", work={"duration": 500.0})
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     world.unusable = {world.read_job(name).vm for name in ("one", "two")}
-    world.play("d1", settle.DRAIN_GRACE + 20)
+    world.run_for("d1", reconciliation.DRAIN_GRACE_SECONDS + 20)
     assert (world.read_job("one").state, world.read_job("one").attempt) == (
         S.RUNNING,
         1,
     )
-    assert world.read_job("one").reason == settle.HOLDS_UP
+    assert world.read_job("one").reason == reconciliation.BLOCKS_DRAIN_REASON
     assert world.read_job("two").attempt == 2
     world.unusable = set()
-    world.play("d1", 20)
+    world.run_for("d1", 20)
     assert world.read_job("one").reason == ""
 
 
-def relieve(world, usage):
+def report_usage(world, usage):
     """Report the usage of running tasks by job; return the calls that follow."""
-    core = world.keep("d1").core
+    core = world.get_controller("d1").core
     listed = []
     for name, (cores, memory) in usage.items():
         seen = core.state.jobs[f"coffee/{name}"].seen
@@ -244,30 +244,33 @@
 
 
 @pytest.fixture
-def shared(make_world):
+def shared_worker(make_world):
     """One worker that runs an urgent job, a bulk one and a greedy bulk one."""
     made = make_world(vms=1)
     made.take_duty("d1")
     for name, urgency in (("urgent", "urgent"), ("bulk", "bulk"), ("greedy", "bulk")):
         made.submit(name, urgency=urgency, work={"duration": 500.0})
-    made.play("d1", 10)
+    made.run_for("d1", 10)
     return made
 
 
-def test_bulk_is_checkpointed_before_a_worker_is_out_of_memory(shared):
-    full = 64.0 * calls.MEMORY_SHARE
+def test_bulk_is_checkpointed_before_a_worker_is_out_of_memory(shared_worker):
+    full = 64.0 * calls.MAX_MEMORY_SHARE
     below = {"urgent": (4, 8), "bulk": (4, 8), "greedy": (4, full - 17)}
-    assert relieve(shared, below) == set()
+    assert report_usage(shared_worker, below) == set()
     above = below | {"greedy": (4, full - 15)}
-    assert relieve(shared, above) == {("checkpoint", "coffee/greedy")}
+    assert report_usage(shared_worker, above) == {("checkpoint", "coffee/greedy")}
 
 
-def test_bulk_is_throttled_while_it_takes_cores_from_urgent_work(shared):
+def test_bulk_is_throttled_while_it_takes_cores_from_urgent_work(shared_worker):
     assert (
-        relieve(shared, {"urgent": (4, 8), "bulk": (4, 8), "greedy": (23, 8)}) == set()
+        report_usage(
+            shared_worker, {"urgent": (4, 8), "bulk": (4, 8), "greedy": (23, 8)}
+        )
+        == set()
     )
     busy = {"urgent": (4, 8), "bulk": (4, 8), "greedy": (25, 8)}
-    assert relieve(shared, busy) == {("throttle", "coffee/greedy")}
+    assert report_usage(shared_worker, busy) == {("throttle", "coffee/greedy")}
 
 
 def test_cancelling_during_the_start_says_what_is_true(world):
@@ -275,7 +278,7 @@
     world.step("d1", calls=False)
     assert world.ask(world.jobs.cancel, team="coffee", job="one").status == 202
     world.make_calls("d1")
-    world.play("d1", 20)
+    world.run_for("d1", 20)
     told = world.read_job("one")
     ran = [run["state"] for run in log(world)]
     assert (told.state, ran) == (S.CANCELLED, ["stopped"])
@@ -284,11 +287,11 @@
 
 def test_leases_are_renewed_while_the_table_is_down(world):
     world.submit("one", work={"duration": 250.0})
-    world.play("d1", 10)
-    platform = world.keep("d1")._platform
+    world.run_for("d1", 10)
+    platform = world.get_controller("d1")._platform
     held, platform.leases.held = platform.leases.held, {}
-    world.play("d1", 200)
+    world.run_for("d1", 200)
     assert log(world)[0]["ended"] is None
     platform.leases.held = held
-    world.play("d1", 100)
+    world.run_for("d1", 100)
     assert world.read_job("one").state is S.FINISHED
--- a/wigeonhitch/placement/tests/test_history.py
+++ b/wigeonhitch/placement/tests/test_history.py
@@ -90,12 +90,12 @@
 
     @stateful.rule(daemon=DAEMONS, seconds=st.sampled_from([2.0, 6.0, 30.0]))
     def play(self, daemon, seconds):
-        self.world.play(daemon, seconds, step=1.0)
+        self.world.run_for(daemon, seconds, step=1.0)
 
     @stateful.rule(daemon=DAEMONS, seconds=st.sampled_from([1.0, 10.0]))
     def suffer_outage(self, daemon, seconds):
         self.world.fake.switch(down=True)
-        self.world.play(daemon, seconds, step=1.0)
+        self.world.run_for(daemon, seconds, step=1.0)
         self.world.fake.switch(down=False)
 
     @stateful.rule(vm=VMS)
@@ -132,7 +132,7 @@
         for row in store.scan("job/", 0):
             item = job.decode(row.value)
             jobs[item.name] = item
-            if item.holds:
+            if item.holds_reservation:
                 used[item.asked.team, "cores"] += item.cores
                 used[item.asked.team, "memory"] += item.memory
                 held[item.vm, item.name] = (item.cores, item.memory)
@@ -162,7 +162,7 @@
         world.unusable.clear()
         world.take_duty("d1")
         for _ in range(40):
-            world.play("d1", 50, step=2.5)
+            world.run_for("d1", 50, step=2.5)
             if all(world.read_job(n, t).state in job.ENDED for t, n in self.names):
                 break
         else:
--- a/wigeonhitch/placement/tests/test_retention.py
+++ b/wigeonhitch/placement/tests/test_retention.py
@@ -22,7 +22,7 @@
     """One finished job and 250 that were cancelled while queued."""
     world.submit("finished")
     names = [f"j{number}" for number in range(250)]
-    world.play("d1", 40)
+    world.run_for("d1", 40)
     for name in names:
         world.submit(name)
     world.ask(world.jobs.cancel_many, {"jobs": names}, team="coffee")
@@ -41,9 +41,9 @@
 
 
 def test_a_holder_that_was_replaced_deletes_nothing(ended):
-    subject = retention.Retention(ended.keep("d1")._platform.table, 0)
-    held = ended.keep("d1")._platform.leases.current("placement/0")
-    ended.fake.advance(9 * retention.DAY)
+    subject = retention.Retention(ended.get_controller("d1")._platform.table, 0)
+    held = ended.get_controller("d1")._platform.leases.current("placement/0")
+    ended.fake.advance(9 * retention.DAY_SECONDS)
     ended.take_duty("d2", freeze_others=True)
     for _ in range(60):
         now = ended.fake.now
--- a/wigeonhitch/placement/tests/test_routes.py
+++ b/wigeonhitch/placement/tests/test_routes.py
@@ -7,7 +7,7 @@
 
 def test_a_repeated_submission_is_the_same_job_another_body_a_conflict(world):
     assert world.submit("one").status == 202
-    world.play("d1", 2)
+    world.run_for("d1", 2)
     repeat = world.submit("one")
     assert (repeat.status, repeat.body["state"]) == (200, "running")
     assert world.submit("one", cores=5.0).status == 409
@@ -56,9 +56,9 @@
 
 def test_a_running_job_is_cancelled_once_its_task_has_ended(world):
     world.submit("one")
-    world.play("d1", 3)
+    world.run_for("d1", 3)
     assert world.ask(world.jobs.cancel, team="coffee", job="one").status == 202
-    world.play("d1", 12)
+    world.run_for("d1", 12)
     ended = world.read_job("one")
     assert (ended.state, ended.reason) == (S.CANCELLED, "stopped after it began")
     assert world.fake.engine.tasks.log()[0]["state"] == "stopped"
@@ -69,7 +69,7 @@
     world.take_duty("d1")
     world.submit("one", work={"duration": 300.0})
     world.submit("two", work={"duration": 300.0})
-    world.play("d1", 10)
+    world.run_for("d1", 10)
     shown = world.ask(world.jobs.show, team="coffee", job="two")
     assert shown.body["reason"] == "the quota of team coffee is used up"
     assert shown.body["state"] == "queued"
--- a/wigeonhitch/placement/tests/test_runner.py
+++ b/wigeonhitch/placement/tests/test_runner.py
@@ -7,7 +7,7 @@
 @pytest.mark.anyio
 async def test_the_runner_keeps_its_duties_and_releases_them(world, monkeypatch):
     monkeypatch.setattr("wigeonhitch.placement.runner.POLL_SECONDS", 0.001)
-    platform = world.keep("d1")._platform
+    platform = world.get_controller("d1")._platform
     world.submit("one")
     subject = runner.Runner(platform, shards=1)
     with anyio.fail_after(10):
@@ -24,7 +24,7 @@
 @pytest.mark.anyio
 async def test_an_idle_shard_reads_signals_alone_until_a_job_comes(world, monkeypatch):
     monkeypatch.setattr("wigeonhitch.placement.runner.POLL_SECONDS", 0.001)
-    platform = world.keep("d1")._platform
+    platform = world.get_controller("d1")._platform
     subject = runner.Runner(platform, shards=1)
     scan = platform.table.scan
     scanned = []
--- a/wigeonhitch/placement/view.py
+++ b/wigeonhitch/placement/view.py
@@ -69,8 +69,8 @@
     return f"placement/{shard}"
 
 
-def largest(vms: Iterable[Vm]) -> tuple[float, float]:
-    """Return the largest cores and memory of a VM; infinite without VMs."""
+def largest_size(vms: Iterable[Vm]) -> tuple[float, float]:
+    """Return the largest_size cores and memory of a VM; infinite without VMs."""
     sizes = [(vm.cores, vm.memory) for vm in vms]
     if not sizes:
         return math.inf, math.inf
