--- a/wigeonhitch/placement/__init__.py
+++ b/wigeonhitch/placement/__init__.py
@@ -1,8 +1,9 @@
-"""Jobs on workers: quotas, learned sizes, quarantine, cancellation.
+"""Job placement on workers: quotas, learned sizes, quarantine, cancellation.
 
-Public: `core` decides and does no I/O; `runner` owns one duty's state and talks
-to the platform; `job` is the record of a job, `view` what placement knows of
-the fleet, `message` what the runner needs, `routes` the operator interface.
+Public: `core` makes the decisions and does no I/O; `runner` holds the duties of
+a daemon and talks to the platform; `job` defines the record of a job, `view` the
+fleet data that placement uses, `message` the runner's dependencies, `routes` the
+operator interface.
 """
 
 __all__ = ["core", "job", "message", "routes", "runner", "view"]
--- a/wigeonhitch/placement/attempt.py
+++ b/wigeonhitch/placement/attempt.py
@@ -1,9 +1,9 @@
-"""What the present holder knows of one job's attempt, and when it is over.
+"""State of one job's current attempt in memory, and when the attempt is over.
 
-A task is named by job and attempt, and the platform runs a name once. So an
-attempt may be started again, by anybody and on any worker, as long as its
-number stays the same; the number is raised only when the attempt is certainly
-over: listed as ended, or its lease has lapsed and nobody can have extended it.
+A task is named by job and attempt, and the platform runs each name at most once.
+Any holder may therefore repeat the start of an attempt on any worker under the
+same number. The number is raised only when the attempt is certainly over: the
+platform listed it as ended, or its lease lapsed and nobody can have renewed it.
 """
 
 import enum
@@ -20,12 +20,12 @@
     "classify",
 ]
 
-# A store outage or takeover shorter than this stops no task; a lost worker
-# that the platform doesn't list holds its job for this long plus LEASE_MARGIN_SECONDS.
+# A store outage or a takeover that is shorter than this stops no task. A job whose
+# worker was lost and isn't listed waits for this long plus LEASE_MARGIN_SECONDS.
 TASK_LEASE_SECONDS = 60.0
-# Covers a renewal that is still on its way when its answer has timed out.
+# Covers a renewal that is still in flight after its answer timed out.
 LEASE_MARGIN_SECONDS = 5.0
-# Between tries of a call whose answer was lost.
+# Delay before a call is repeated, such as one whose answer was lost.
 RETRY_DELAY_SECONDS = 0.5
 
 ALIVE = frozenset(
@@ -38,7 +38,7 @@
 
 
 class AttemptResult(enum.Enum):
-    """How an attempt ended, as far as the job's future goes."""
+    """How an attempt ended; decides whether the job runs again."""
 
     FINISHED = "finished"
     FAILED = "failed"
@@ -58,44 +58,48 @@
 
 
 class Attempt:
-    """One live job as this holder of the duty sees it.
+    """One live job and its current attempt, as this holder of the duty sees it.
 
     Attributes
     ----------
     job, version
-        The row as last read or committed.
+        The record and the version of its row, as last read or committed.
     calls : int
-        Start calls that this holder has made for the present attempt.
+        Start calls that this holder has made for the current attempt.
     unsure : bool
-        A start call may still be on its way: its answer was lost, or an
-        earlier holder committed the start.
+        A start call may still be in flight: its answer was lost, or an earlier
+        holder committed the start.
     known : bool
-        The platform knows the task: a start was answered, or it was listed.
+        The platform knows the task: a start succeeded, or the task was listed.
     refused : bool
-        The last start call was certainly not done.
+        The last start call was certainly not carried out.
     flying : bool
-        A call is on its way.
+        A call is in flight.
     retry_at : float
-        No call before this time.
+        Earliest time of the next call.
     touched : float
-        No lease of ours reaches beyond this time plus TASK_LEASE_SECONDS.
+        Time of the last answer to a call or renewal; no lease that this holder
+        requested lasts beyond it by more than TASK_LEASE_SECONDS.
     sealed : bool
         The platform has this holder's fencing token for the task, so no
         earlier holder can start or renew it.
     seen, seen_at
-        The task as last listed, and when that list was asked for.
+        The task as last listed, and when that list was requested.
     sampled_cores, sampled_memory : bool
-        The usage so far was learned from already.
+        The size estimator already has this attempt's cores or memory.
     unlisted : bool
-        The last list did not show the task.
+        The last list did not contain the task.
     acted_at : float
-        When a control call was last answered; older lists are out of date.
+        When a control call last succeeded; lists requested earlier are stale.
     evict, pausing, throttle : bool
-        The task is to be stopped, checkpointed or throttle.
+        The task is to be stopped, checkpointed or throttled.
     paused_at : float
-        When the platform confirmed the checkpoint; 0 when it has not.
+        When the platform confirmed the checkpoint; 0 before that.
+    peak : tuple of float
+        Highest cores and memory (GB) listed for this attempt.
     wait, wait_at, told_at
-        Why the job waits, since when, and when its row was last told.
+        Why the job waits, since when, and when the reason was last written to
+        its row.
     """
 
     __slots__ = (
@@ -134,7 +138,7 @@
         self.reset(unsure=item.state in job.HOLDING and item.fence != fence)
 
     def reset(self, *, unsure: bool) -> None:
-        """Forget the earlier attempt."""
+        """Clear what is known of the previous attempt."""
         self.calls = 0
         self.unsure = unsure
         self.known = self.job.state is job.JobState.RUNNING
@@ -157,7 +161,7 @@
 
     @property
     def result(self) -> AttemptResult | None:
-        """How the platform says the attempt ended, or None."""
+        """Result of the attempt as listed by the platform, or None."""
         return classify(self.seen) if self.seen is not None else None
 
     @property
@@ -168,8 +172,8 @@
     def has_lapsed(self, now: float) -> bool:
         """Whether an unlisted task is over because its lease has lapsed.
 
-        Only for a task that the platform knew: a start that may still be on
-        its way is resolved by starting the same name again, never by time.
+        Applies only to a task that the platform knew: a start that may still
+        be in flight is resolved by starting the same name again, never by time.
         """
         if not (self.unlisted and self.known and self.sealed):
             return False
@@ -179,6 +183,6 @@
         )
 
     def was_never_sent(self, fence: int) -> bool:
-        """Whether no start call of this attempt can exist or come to exist."""
+        """Whether no start call of this attempt was made or can still arrive."""
         own = self.job.fence == fence and not self.unsure
         return own and not self.known and (self.calls == 0 or self.refused)
--- a/wigeonhitch/placement/backlog.py
+++ b/wigeonhitch/placement/backlog.py
@@ -1,4 +1,4 @@
-"""Queued jobs by pool, class and team, the one with least slack first."""
+"""Queued jobs by pool, class and team, earliest latest start first."""
 
 import bisect
 from collections.abc import Iterator
@@ -9,9 +9,9 @@
 
 
 class Backlog:
-    """Sorted queues; adding and removing one job costs O(log n) and a move.
+    """Sorted queues with O(log n) search for adding and removing one job.
 
-    A wave of cancellations is that many removals and nothing else.
+    The cost of mass cancellation is one removal for each job.
     """
 
     def __init__(self):
@@ -22,23 +22,23 @@
         teams = self._queues.setdefault((item.asked.pool, item.is_urgent), {})
         queue = teams.setdefault(item.asked.team, [])
         entry = _entry(item)
-        place = bisect.bisect_left(queue, entry)
-        if place == len(queue) or queue[place] != entry:
-            queue.insert(place, entry)
+        index = bisect.bisect_left(queue, entry)
+        if index == len(queue) or queue[index] != entry:
+            queue.insert(index, entry)
 
     def remove(self, item: job.Job) -> None:
         """Remove a job, if it is queued."""
         teams = self._queues.get((item.asked.pool, item.is_urgent), {})
         queue = teams.get(item.asked.team, [])
         entry = _entry(item)
-        place = bisect.bisect_left(queue, entry)
-        if place < len(queue) and queue[place] == entry:
-            del queue[place]
+        index = bisect.bisect_left(queue, entry)
+        if index < len(queue) and queue[index] == entry:
+            del queue[index]
         if not queue:
             teams.pop(item.asked.team, None)
 
     def pools(self) -> list[str]:
-        """Return the pools that have a job queued, in order of name."""
+        """Return the pools that have a job queued, sorted by name."""
         return sorted({pool for (pool, _), teams in self._queues.items() if teams})
 
     def has_urgent(self) -> bool:
@@ -46,7 +46,7 @@
         return any(urgent and teams for (_, urgent), teams in self._queues.items())
 
     def teams(self, pool: str, urgent: bool) -> list[str]:
-        """Return the teams with a job queued, in order of name."""
+        """Return the teams with a job queued, sorted by name."""
         return sorted(self._queues.get((pool, urgent), ()))
 
     def peek(self, pool: str, urgent: bool, team: str, count: int) -> Iterator[str]:
@@ -55,7 +55,7 @@
         return iter([entry[2] for entry in queue[:count]])
 
     def earliest_latest_start(self, pool: str, team: str) -> float:
-        """Return the earliest latest-start time of a team's bulk jobs."""
+        """Return the earliest `job.Job.latest_start` of a team's bulk jobs."""
         return self._queues[(pool, False)][team][0][0]
 
 
--- a/wigeonhitch/placement/calls.py
+++ b/wigeonhitch/placement/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's task service, and what their answers mean."""
+"""Calls to the platform's task service, and the handling of their answers."""
 
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
@@ -15,13 +15,14 @@
     "record_tasks",
 ]
 
-# A worker that refused a start is left alone for this long: the view of the
-# fleet lags behind the platform by some seconds.
+# A worker that refused a start gets no new job for this long: the fleet view lags
+# behind the platform by some seconds.
 REFUSAL_COOLDOWN_SECONDS = 5.0
-# A stop is asked for again if the task is still listed alive after this.
+# A stop is repeated if the task is still listed alive after this time.
 STOP_RETRY_SECONDS = 10.0
-# Above these shares of a worker's memory and cores bulk is checkpointed or
-# throttled; the memory share leaves room for what grows between two reports.
+# Above these shares of a worker's memory and cores, bulk jobs are checkpointed or
+# throttled; below RESUME_CORES_SHARE the throttling ends. The memory share leaves
+# room for growth between two usage reports.
 MAX_MEMORY_SHARE = 0.92
 MAX_CORES_SHARE = 1.0
 RESUME_CORES_SHARE = 0.8
@@ -42,9 +43,9 @@
 
 def next_calls(shard: state.ShardState, now: float, limit: int) -> list[Call]:
     """Return up to ``limit`` calls; starts of urgent jobs come first."""
-    found: list[Call] = []
+    due_calls: list[Call] = []
     for name in sorted(shard.pending_calls, key=lambda name: _rank_call(shard, name)):
-        if len(found) >= limit:
+        if len(due_calls) >= limit:
             break
         entry = shard.jobs.get(name)
         action = _find_action(shard, entry) if entry is not None else ""
@@ -54,8 +55,8 @@
         if entry.flying or entry.retry_at > now:
             continue
         entry.flying = True
-        found.append(_make_call(shard, entry, action))
-    return found
+        due_calls.append(_make_call(shard, entry, action))
+    return due_calls
 
 
 def _rank_call(shard: state.ShardState, name: str) -> tuple[bool, bool, str]:
@@ -86,11 +87,11 @@
     item = entry.job
     if item.state is S.STARTING:
         vm = shard.vms.get(item.vm)
-        ready = vm is not None and vm.usable
-        sealing = entry.unsure
-        if entry.known or entry.refused or not ready:
+        is_usable = vm is not None and vm.usable
+        must_resolve = entry.unsure
+        if entry.known or entry.refused or not is_usable:
             return ""
-        return "" if item.cancel and not sealing and entry.calls == 0 else "start"
+        return "" if item.cancel and not must_resolve and entry.calls == 0 else "start"
     if item.state is not S.RUNNING or entry.result is not None:
         return ""
     return _find_running_action(entry)
@@ -115,7 +116,7 @@
 def record_answer(
     shard: state.ShardState, call: Call, outcome: table.Outcome | None, now: float
 ) -> None:
-    """Take the outcome of a call; None when it was not sent after all."""
+    """Apply the outcome of a call; None when the call was not sent."""
     entry = shard.jobs.get(call.name)
     if entry is None or entry.job.attempt != call.attempt:
         return
@@ -141,13 +142,13 @@
         return
     if call.action == "checkpoint":
         entry.paused_at = now
-    shown = {
+    resulting_states = {
         "checkpoint": T.CHECKPOINTED,
         "throttle": T.THROTTLED,
         "resume": T.RUNNING,
     }
     if entry.is_alive:
-        entry.seen = entry.seen._replace(state=shown[call.action])
+        entry.seen = entry.seen._replace(state=resulting_states[call.action])
 
 
 def _answer_start(
@@ -176,7 +177,7 @@
     vms: Collection[str],
     at: float,
 ) -> None:
-    """Take a list of the tasks of ``vms`` that was asked for at time ``at``."""
+    """Apply a list of the tasks of ``vms`` that was requested at time ``at``."""
     present = set()
     for task in listed:
         name, number = job.split_task(task.task)
@@ -213,8 +214,8 @@
         max(entry.peak[0], task.used_cores),
         max(entry.peak[1], task.used_memory),
     )
-    stray = task.vm != entry.job.vm
-    if ended or stray or entry.job.state is S.STARTING or entry.job.paused:
+    misplaced = task.vm != entry.job.vm
+    if ended or misplaced or entry.job.state is S.STARTING or entry.job.paused:
         shard.unreconciled.add(name)
     if ended:
         reconciliation.record_result(shard, entry, at)
@@ -227,34 +228,34 @@
 
 
 def _relieve_worker(shard: state.ShardState, vm: str) -> None:
-    """Checkpoint or throttle bulk before it harms urgent work on its worker.
+    """Checkpoint or throttle bulk jobs before they harm urgent work on the worker.
 
-    Load: bulk that uses several times what it declared. Harm: the worker runs
-    out of memory and kills any task, or starves urgent work of cores. The job
-    furthest above its reservation gives way, one for each report.
+    A bulk job may use several times its declared size. The worker would then run
+    out of memory and kill any task, or starve urgent work of cores. Each usage
+    report checkpoints or throttles the job furthest above its reservation.
     """
-    known = shard.vms.get(vm)
+    worker = shard.vms.get(vm)
     entries = [shard.jobs[name] for name in sorted(shard.on_vm.get(vm, ()))]
     alive = [
         entry for entry in entries if entry.is_alive and entry.job.holds_reservation
     ]
     bulk = [entry for entry in alive if not entry.job.is_urgent and not entry.pausing]
-    if known is None or not bulk:
+    if worker is None or not bulk:
         return
     memory = sum(entry.seen.used_memory for entry in alive)
-    if memory > MAX_MEMORY_SHARE * known.memory and len(alive) > 1:
+    if memory > MAX_MEMORY_SHARE * worker.memory and len(alive) > 1:
         worst = max(bulk, key=lambda e: e.seen.used_memory - e.job.memory)
         if worst.seen.used_memory > worst.job.memory:
             worst.pausing = True
             shard.counters["checkpoints"] += 1
             shard.pending_calls.add(worst.job.name)
     cores = sum(entry.seen.used_cores for entry in alive)
-    if cores > MAX_CORES_SHARE * known.cores and len(bulk) < len(alive):
+    if cores > MAX_CORES_SHARE * worker.cores and len(bulk) < len(alive):
         worst = max(bulk, key=lambda e: e.seen.used_cores - e.job.cores)
         worst.throttle = True
         shard.counters["throttles"] += 1
         shard.pending_calls.add(worst.job.name)
-    elif cores < RESUME_CORES_SHARE * known.cores:
+    elif cores < RESUME_CORES_SHARE * worker.cores:
         for entry in bulk:
             if entry.throttle:
                 entry.throttle = False
@@ -262,25 +263,25 @@
 
 
 def find_renewals(shard: state.ShardState) -> list[str]:
-    """Return the tasks to renew: those listed alive, or not yet looked for.
+    """Return the tasks to renew: those listed alive, or not listed for yet.
 
-    A task that is not listed is not renewed, so that its lease is sure to
-    lapse; one that is to be stopped is not either.
+    A task that a list did not contain is not renewed, so that its lease lapses
+    with certainty. A task that is to be stopped is not renewed either.
     """
-    found = []
+    renewable = []
     for entry in shard.jobs.values():
         item = entry.job
         if item.state is not S.RUNNING or entry.evict or item.cancel:
             continue
         if entry.is_alive or (entry.result is None and not entry.unlisted):
-            found.append(item.task)
-    return found
+            renewable.append(item.task)
+    return renewable
 
 
 def record_renewal(
     shard: state.ShardState, renewed: Sequence[str], outcome: table.Outcome, now: float
 ) -> None:
-    """Take the outcome of a renewal of tasks."""
+    """Apply the outcome of a renewal of tasks."""
     for task in renewed:
         name, number = job.split_task(task)
         entry = shard.jobs.get(name)
--- a/wigeonhitch/placement/core.py
+++ b/wigeonhitch/placement/core.py
@@ -1,7 +1,7 @@
-"""The decisions of one placement duty: events in, commits and calls out.
+"""Decisions of one placement duty: takes events, returns commits and calls.
 
-No I/O, no clock: times are arguments, in seconds of the table's clock as the
-runner estimates it, which also counts while the process is suspended.
+Does no I/O and reads no clock: times are arguments, in seconds of the table's
+clock as the runner estimates it, which also counts while the process is suspended.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -22,14 +22,15 @@
 __all__ = ["Core"]
 
 # Changes in one commit: large enough that several hundred starts a second take
-# few commits, small enough that one takes some ten milliseconds. Endings get at
-# most half, so that placing goes on during a wave of cancellations.
+# few commits, small enough that one commit takes about 10 ms. Ended jobs get at
+# most half, so that placement continues during a mass cancellation.
 MAX_CHANGES_PER_COMMIT = 100
 MAX_ENDINGS_PER_COMMIT = 50
-# Calls made at once: a wave of stops must not crowd out urgent starts, which
-# come first in each step.
+# Calls made in one step: many stops must not delay urgent starts, which come first
+# in each step.
 MAX_CALLS_PER_STEP = 64
-# Settled again now and then, for what only time changes (leases, grace).
+# Jobs are reconciled again at this period, for changes that only time brings
+# (lapsed leases, ended grace periods).
 SWEEP_PERIOD_SECONDS = 1.0
 
 
@@ -43,7 +44,7 @@
     fence : int
         Fencing token of the duty's lease.
     estimator, worker_quarantine : optional
-        Learned sizes and quarantine, to be handed on or switched off.
+        Size estimator and quarantine; pass them to keep or disable them.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self._last_sweep = 0.0
 
     def load(self, rows: Iterable[table.Row]) -> None:
-        """Take rows as read: jobs, reservations and quotas."""
+        """Load rows as read: jobs, reservations and quotas."""
         for row in rows:
             if row.key.startswith(job.PREFIX):
                 self._load_job(row)
@@ -76,11 +77,11 @@
             self.state.load_job(item, row.version)
 
     def update_fleet(self, vms: Iterable[view.Vm], now: float) -> None:
-        """Take the present view of the workers of the shard's pools."""
+        """Apply the current view of the workers of the shard's pools."""
         self.state.update_fleet(vms, now)
 
     def update_policy(self, policy: view.Policy) -> None:
-        """Take the quotas, kinds and pools of the document in force."""
+        """Apply the quotas, kinds and pools of the document in force."""
         if policy != self.state.policy:
             self.state.policy = policy
             self.state.unreconciled.update(self.state.jobs)
@@ -89,14 +90,14 @@
     def update_tasks(
         self, listed: Sequence[tasks.Task], vms: Collection[str], at: float
     ) -> None:
-        """Take the tasks of ``vms``, asked for at time ``at``."""
+        """Apply the list of the tasks of ``vms`` requested at time ``at``."""
         calls.record_tasks(self.state, listed, vms, at)
         self.state.dirty_pools.update(self.state.pools)
 
     def decide(self, now: float) -> ledger.Batch | None:
         """Return the next commit, or None when nothing is to be changed.
 
-        The batch is applied here already: follow it by `confirm` or `undo`.
+        The batch is already applied in memory: call `confirm` or `undo` next.
         """
         if now >= self._last_sweep + SWEEP_PERIOD_SECONDS:
             self._last_sweep = now
@@ -108,36 +109,36 @@
     def _sweep(self) -> None:
         for name, entry in self.state.jobs.items():
             item = entry.job
-            lost = item.state is job.JobState.RUNNING and entry.seen is None
-            young = item.state is job.JobState.QUEUED and item.attempt == 1
+            is_unseen = item.state is job.JobState.RUNNING and entry.seen is None
+            is_first = item.state is job.JobState.QUEUED and item.attempt == 1
             leaving = item.vm in self.state.unusable_since
             starting = item.state is job.JobState.STARTING
-            if lost or leaving or starting or item.paused:
+            if is_unseen or leaving or starting or item.paused:
                 self.state.unreconciled.add(name)
-            elif young and self.state.policy is not None:
-                known = item.asked.pool in self.state.policy.kinds
-                if not known or item.asked.team not in self.state.policy.teams:
+            elif is_first and self.state.policy is not None:
+                has_kind = item.asked.pool in self.state.policy.kinds
+                if not has_kind or item.asked.team not in self.state.policy.teams:
                     self.state.unreconciled.add(name)
 
     def confirm(self, batch: ledger.Batch, revision: int) -> None:
-        """Note that a commit took effect."""
+        """Record that a commit took effect."""
         self.state.confirm(batch, revision)
 
     def undo(self, batch: ledger.Batch) -> None:
-        """Note that a commit did not, or may not have, taken effect.
+        """Revert a commit that did not take effect, or may not have.
 
-        Load the rows of the batch as they are now before the next `decide`.
+        Load the current rows of the batch before the next `decide`.
         """
         self.state.undo(batch)
 
     def next_calls(self, now: float) -> list[calls.Call]:
-        """Return the task calls to make now, all of committed rows."""
+        """Return the task calls to make now; all follow from committed rows."""
         return calls.next_calls(self.state, now, MAX_CALLS_PER_STEP)
 
     def record_answer(
         self, call: calls.Call, outcome: table.Outcome | None, now: float
     ) -> None:
-        """Take the outcome of a call; None when it was not sent after all."""
+        """Apply the outcome of a call; None when the call was not sent."""
         calls.record_answer(self.state, call, outcome, now)
 
     def find_renewals(self) -> list[str]:
@@ -147,5 +148,5 @@
     def record_renewal(
         self, names: Sequence[str], outcome: table.Outcome, now: float
     ) -> None:
-        """Take the outcome of a renewal."""
+        """Apply the outcome of a renewal."""
         calls.record_renewal(self.state, names, outcome, now)
--- a/wigeonhitch/placement/selection.py
+++ b/wigeonhitch/placement/selection.py
@@ -1,4 +1,4 @@
-"""Which worker a job goes to, and which bulk makes room for urgent work."""
+"""Selection of the worker for a job, and of bulk jobs to preempt for urgent work."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
@@ -15,13 +15,13 @@
 ]
 
 EPSILON = 1e-6
-# Bulk that could not be resumed this long and still finish in time is left
-# alone, as urgent work must not cost a reconciliation its deadline.
+# A bulk job with less slack than this is not preempted: urgent work must not make
+# it miss its deadline.
 MIN_SLACK_SECONDS = 120.0
 
 
 class Candidate:
-    """Room on one worker during one round of placing."""
+    """Free capacity of one worker during one placement round."""
 
     __slots__ = ("busy", "cores", "domain", "memory", "trial", "vm")
 
@@ -34,14 +34,14 @@
         self.busy = False
 
     def allocate(self, cores: float, memory: float) -> None:
-        """Use up room."""
+        """Subtract a job's size from the free capacity."""
         self.cores -= cores
         self.memory -= memory
         self.busy = True
 
 
 class Victim(NamedTuple):
-    """A running bulk job that could be checkpointed."""
+    """A running bulk job that may be checkpointed for urgent work."""
 
     name: str
     vm: str
@@ -51,7 +51,7 @@
 
 
 def fits(candidate: Candidate, cores: float, memory: float) -> bool:
-    """Whether the worker has room."""
+    """Return whether the worker has enough free capacity."""
     return candidate.cores + EPSILON >= cores and candidate.memory + EPSILON >= memory
 
 
@@ -65,16 +65,17 @@
     avoid: Sequence[str],
     held: str = "",
 ) -> Candidate | None:
-    """Return the worker for a job, or None when none has room.
-
-    Fewest jobs of the same group in the failure domain first, so that the loss
-    of a rack takes the fewest of them. Then bulk goes where least room is left
-    over, which keeps room whole for large jobs, and urgent work where most is
-    left, as its true size may be above the estimate. A worker on trial gets one
-    bulk job at a time that may be run again, and gets it before the others, so
-    that a worker that was mended comes back soon. ``held`` is kept free of new
-    bulk for a job that has waited for a whole worker, and is the last choice for
-    urgent work, or short urgent jobs would keep it from ever being empty.
+    """Return the worker for a job, or None when none has enough capacity.
+
+    Workers are ranked by the number of jobs of the same group in their failure
+    domain, fewest first, so that the loss of a rack affects as few as possible.
+    Among equals, bulk goes where the least capacity is left over, which keeps
+    large gaps for large jobs, and urgent work where the most is left, as its true
+    size may exceed the estimate. A worker on trial gets one repeatable bulk job
+    at a time, and is preferred for it, so that a repaired worker returns soon.
+    ``held`` is a worker kept free of new bulk for a job that has waited for a
+    whole worker. It is the last choice for urgent work, since short urgent jobs
+    would keep it from ever becoming empty.
     """
     best = None
     best_rank: tuple[int, bool, bool, float] | None = None
@@ -86,9 +87,14 @@
         ):
             continue
         left = candidate.cores - need[0] + (candidate.memory - need[1]) / 4
-        last = candidate.vm == held
-        share = -left if urgent else left
-        rank = (crowd.get(candidate.domain, 0), last, not candidate.trial, share)
+        is_held = candidate.vm == held
+        preference = -left if urgent else left
+        rank = (
+            crowd.get(candidate.domain, 0),
+            is_held,
+            not candidate.trial,
+            preference,
+        )
         if best_rank is None or rank < best_rank:
             best, best_rank = candidate, rank
     return best
@@ -100,11 +106,11 @@
     need: tuple[float, float],
     avoid: Sequence[str],
 ) -> tuple[str, list[str]] | None:
-    """Return the worker and the fewest bulk jobs that make room for urgent work.
+    """Return the worker and the fewest bulk jobs to preempt for urgent work.
 
-    Load: every worker full of bulk when urgent work comes. Harm: a clerk waits
-    for a reconciliation to end. Jobs with the most slack are taken, and none
-    whose deadline the pause would break.
+    When bulk fills every worker, an interactive user would wait for a bulk job
+    to end. Jobs with the most slack are chosen first, and none whose deadline
+    the pause would break.
     """
     best: tuple[str, list[str]] | None = None
     for candidate in candidates:
@@ -133,9 +139,9 @@
 
 
 def find_slack(entry: attempt.Attempt, now: float) -> float:
-    """Return the seconds a running job could pause; negative when late."""
-    done = entry.seen.progress if entry.seen is not None else 0.0
-    left = entry.job.asked.duration * (1.0 - min(1.0, done))
+    """Return how many seconds a running job may pause; negative when late."""
+    progress = entry.seen.progress if entry.seen is not None else 0.0
+    left = entry.job.asked.duration * (1.0 - min(1.0, progress))
     if now > entry.job.due:
         return -1.0
     return max(0.0, entry.job.due - now - left)
