--- a/wigeonhitch/placement/job.py
+++ b/wigeonhitch/placement/job.py
@@ -1,7 +1,7 @@
-"""The record of one job, kept in row ``job/{team}/{id}``.
+"""The record of one job, stored in row ``job/{team}/{id}``.
 
-The row is the only truth about a job: a new holder of the duty rebuilds its
-state from it. Times are in the table's clock, in seconds; memory is in GB.
+The row is authoritative: a new holder of the duty rebuilds its state from it.
+Times are in seconds of the table's clock; memory is in GB.
 """
 
 import enum
@@ -52,14 +52,14 @@
 
 
 class Submission(NamedTuple):
-    """What a submitter states; the same id with the same body is the same job.
+    """A job as submitted; the same id with the same body is the same job.
 
     Parameters
     ----------
     team, id, pool : str
         Owner, name chosen by the submitter, and pool whose workers run it.
     cores, memory : float
-        Declared size; only a prior once sizes of ``kind`` are learned.
+        Declared size; replaced by the estimate once sizes of ``kind`` are learned.
     duration : float
         Expected run time in seconds.
     deadline : float
@@ -67,15 +67,15 @@
     urgency : str
         ``"urgent"`` starts before every other class.
     kind : str
-        Jobs of one kind have like sizes.
+        Jobs of one kind are expected to have similar sizes.
     spread : str
         Jobs of one group are spread over failure domains; empty for none.
     rerun : bool
-        Whether another attempt may follow one that may have begun and whose
-        end was not reported. Set it to false for work that must not be done
-        twice.
+        Whether the job may be attempted again when an earlier attempt may have
+        begun and its end was not reported. False for work that must not be
+        done twice.
     work : dict
-        Passed to the worker as it is.
+        Passed to the worker unchanged.
     """
 
     team: Name
@@ -95,9 +95,9 @@
     def sizing_key(self) -> str:
         """Return the name under which sizes are learned.
 
-        Load: submitters that name no kind. Harm: small urgent jobs would be
-        given the size of another team's bulk and use up their quota waiting
-        for it. Without a kind only jobs alike in all that is stated share.
+        Without a kind, only jobs of the same team, urgency and declared size
+        share an estimate. Otherwise small urgent jobs would get the size of
+        another team's bulk jobs and exhaust their quota.
         """
         if self.kind != DEFAULT_KIND:
             return self.kind
@@ -105,7 +105,7 @@
 
 
 class Job(NamedTuple):
-    """One job: its submission, and where it stands.
+    """One job: its submission and its state.
 
     Parameters
     ----------
@@ -114,20 +114,20 @@
     submitted, since : float
         Time of submission, and of the last change of state or reason.
     attempt : int
-        Number of the present attempt, or of the next while queued. It is raised
-        only once the attempt is certainly over; a queued job's attempt was
-        never sent to the platform.
+        Number of the current attempt, or of the next one while queued. It is
+        raised only once the attempt is certainly over; the attempt of a queued
+        job was never sent to the platform.
     vm, cores, memory, fence
-        Of the present attempt: worker, reservation, and fencing token of the
+        Of the current attempt: worker, reservation, and fencing token of the
         holder that committed it.
     paused : bool
-        Checkpointed: holds no reservation.
+        Checkpointed; holds no reservation.
     cancel : bool
-        Cancellation was asked for while an attempt may be running.
+        Cancellation was requested while an attempt may be running.
     failed_on : tuple of str
         Workers that reported a failed attempt.
     floor : float
-        Memory (GB) that was too little for an earlier attempt.
+        Least memory (GB) to reserve, raised after a kill for lack of memory.
     peak_cores, peak_memory : float
         Highest usage seen, from which sizes are learned after a takeover.
     """
@@ -161,12 +161,12 @@
 
     @property
     def task(self) -> str:
-        """Return the task name of the present attempt: job and attempt."""
+        """Return the task name of the current attempt: job and attempt."""
         return f"{self.name}/{self.attempt}"
 
     @property
     def is_urgent(self) -> bool:
-        """Whether the job is served before every other class."""
+        """Return whether the job is served before every other class."""
         return self.asked.urgency == URGENT
 
     @property
@@ -176,12 +176,12 @@
 
     @property
     def latest_start(self) -> float:
-        """Return the last time of a start that still meets the deadline."""
+        """Return the latest start time that still meets the deadline."""
         return self.due - self.asked.duration
 
     @property
     def holds_reservation(self) -> bool:
-        """Whether the job holds a reservation on its worker."""
+        """Return whether the job holds a reservation on its worker."""
         return self.state in HOLDING and not self.paused
 
 
@@ -218,7 +218,7 @@
 
 
 def encode(job: Job) -> dict[str, Any]:
-    """Return the row's value; fields that have their default are left out."""
+    """Return the row's value; fields with their default value are omitted."""
     defaults = Job._field_defaults
     value = {
         field: item
@@ -233,7 +233,7 @@
 
 
 def decode(value: Mapping[str, Any]) -> Job:
-    """Return the job of a row's value; unknown fields are ignored.
+    """Return the job stored in a row's value; unknown fields are ignored.
 
     Examples
     --------
--- a/wigeonhitch/placement/ledger.py
+++ b/wigeonhitch/placement/ledger.py
@@ -1,7 +1,7 @@
-"""Reservations and quotas in use, kept in step with the table's rows.
+"""Reservations and quota usage, kept consistent with the table's rows.
 
-Changes are applied here first and then committed, with the version of every
-row they touch as a condition; a failed commit is undone from the batch.
+Changes are applied in memory first and then committed, with the version of every
+affected row as a condition; a failed commit is undone from the batch.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,13 +26,13 @@
 QUOTA_PREFIX = "quota/"
 MARKER_PREFIX = "placing/"
 ENDED_PREFIX = "ended/"
-DAY_SECONDS = 86_400  # seconds
+DAY_SECONDS = 86_400
 ROUNDING_DIGITS = 6
 ZERO = (0.0, 0.0)
 
 
 class Batch(NamedTuple):
-    """One commit: its conditions and writes, and how to undo it."""
+    """One commit: its conditions and writes, and the jobs as they were before."""
 
     conditions: tuple[table.Condition, ...]
     writes: tuple[table.Write, ...]
@@ -50,7 +50,7 @@
         self.total = ZERO
 
     def put(self, name: str, size: tuple[float, float]) -> None:
-        """Set what is held under a name; nothing removes it."""
+        """Set the size held under a name; a size of zero removes the name."""
         if size[0] <= 0 and size[1] <= 0:
             self.items.pop(name, None)
         else:
@@ -58,7 +58,7 @@
         self.total = _sum(self.items.values())
 
     def load(self, value: Mapping, version: int) -> None:
-        """Replace all by a row's value."""
+        """Replace the content by a row's value."""
         self.version = version
         self.items = {name: (size[0], size[1]) for name, size in value.items()}
         self.total = _sum(self.items.values())
@@ -79,14 +79,14 @@
 
 
 class Ledger:
-    """Reservations by worker, and use by team and pool."""
+    """Reservations by worker, and quota usage by team and pool."""
 
     def __init__(self):
         self.vms: dict[str, LedgerRow] = {}
         self.teams: dict[str, LedgerRow] = {}
 
     def load(self, row: table.Row) -> None:
-        """Take over a reservation or quota row as read."""
+        """Load a reservation or quota row as read."""
         if row.key.startswith(RESERVATION_PREFIX):
             ledger_row = self.reservation(row.key.removeprefix(RESERVATION_PREFIX))
             field = "jobs"
@@ -97,15 +97,15 @@
             ledger_row.load((row.value or {}).get(field, {}), _version(row))
 
     def reservation(self, vm: str) -> LedgerRow:
-        """Return what is reserved on a worker."""
+        """Return the reservations on a worker."""
         return self.vms.setdefault(vm, LedgerRow())
 
     def quota(self, team: str) -> LedgerRow:
-        """Return what a team uses, by pool."""
+        """Return a team's usage by pool."""
         return self.teams.setdefault(team, LedgerRow())
 
     def apply_change(self, old: job.Job, new: job.Job) -> None:
-        """Apply the change of one job."""
+        """Apply the change of one job to its reservation and quota."""
         if old.holds_reservation:
             self._add_usage(old, -1)
             self.reservation(old.vm).put(old.name, ZERO)
@@ -123,7 +123,7 @@
     def build(
         self, changes: Iterable[tuple[job.Job, job.Job, int]], shard: int
     ) -> Batch:
-        """Return the commit of changes ``(old, new, version)`` already applied."""
+        """Return the commit of ``(old, new, version)`` changes already applied."""
         conditions: list[table.Condition] = []
         writes: list[table.Write] = []
         before: dict[str, job.Job] = {}
@@ -147,7 +147,7 @@
         return Batch(tuple(conditions), tuple(writes), before)
 
     def confirm(self, batch: Batch, revision: int) -> None:
-        """Note the versions that a commit gave to its rows."""
+        """Record the versions that a commit gave to its rows."""
         for write in batch.writes:
             version = revision if write.value is not None else 0
             if write.key.startswith(RESERVATION_PREFIX):
--- a/wigeonhitch/placement/message.py
+++ b/wigeonhitch/placement/message.py
@@ -1,4 +1,4 @@
-"""What a keeper is given, and the answers that calls beside it report."""
+"""Dependencies of a shard controller, and the messages that its calls report."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Answered(NamedTuple):
-    """A task call was answered; None when it was not sent."""
+    """A task call was answered; ``outcome`` is None when it was not sent."""
 
     fence: int
     call: calls.Call
@@ -23,7 +23,7 @@
 
 
 class Renewed(NamedTuple):
-    """A renewal was answered."""
+    """A renewal of task leases was answered."""
 
     fence: int
     names: tuple[str, ...]
@@ -31,7 +31,7 @@
 
 
 class Listed(NamedTuple):
-    """Tasks of ``vms``, asked for at ``at``; ``result`` may have failed."""
+    """Tasks of ``vms``, requested at time ``at``; ``result`` may be a failure."""
 
     fence: int
     vms: tuple[str, ...]
@@ -40,11 +40,11 @@
 
 
 class Wake(NamedTuple):
-    """There may be something to do."""
+    """The controller should take a step."""
 
 
 class Platform(NamedTuple):
-    """What a keeper talks to; ``fleet`` and ``source`` are views in memory."""
+    """Services that a controller uses; ``fleet`` and ``source`` read memory only."""
 
     table: table.Table
     tasks: tasks.Tasks
--- a/wigeonhitch/placement/quarantine.py
+++ b/wigeonhitch/placement/quarantine.py
@@ -1,25 +1,26 @@
-"""Workers that fail the tasks of several different jobs are set aside."""
+"""Quarantine of workers on which tasks of several different jobs failed."""
 
 from collections.abc import Collection
 from typing import NamedTuple
 
 __all__ = ["Quarantine"]
 
-# Three different jobs without a success between them: one bad job is retried on
-# other workers before it could count three times here, and a worker with a
-# passing fault loses at most two tasks.
+# Failed jobs without a success in between that quarantine a worker. Jobs are counted
+# once, so a bad job, which is retried on other workers, doesn't reach three alone. A
+# worker with a transient fault loses at most two tasks.
 MIN_FAILED_JOBS = 3
-# Failures that lie further apart say nothing about the worker.
+# Failures that are further apart say nothing about the worker.
 FAILURE_WINDOW_SECONDS = 900.0
-# First time aside, seconds; doubled at each failed trial up to the longest.
+# Length of the first quarantine; doubled at each failed trial up to the maximum.
 FIRST_TERM_SECONDS = 60.0
 MAX_TERM_SECONDS = 3600.0
-# A fault of the jobs' own (a bad release of one kind) must not empty a pool.
+# Share of a pool that may be in quarantine at once: a fault in the jobs themselves,
+# such as a bad release of one kind, must not empty the pool.
 MAX_QUARANTINED_SHARE = 0.2
 
 
 class QuarantineTerm(NamedTuple):
-    """A worker set aside until ``until``; ``length`` is the present term."""
+    """Quarantine of one worker until ``until``; ``length`` is the current term."""
 
     until: float
     length: float
@@ -27,16 +28,16 @@
 
 
 class Quarantine:
-    """Set aside workers that fail every task, and try them again later.
+    """Quarantine workers that fail every task, and try them again later.
 
-    Load: a worker that fails tasks at once looks idle and draws the whole
-    queue. Harm: each job loses an attempt there, and jobs that are fine would
-    be refused for failing.
+    A worker that fails tasks at once looks idle and attracts the whole queue.
+    Each job would lose an attempt there, and healthy jobs would be refused for
+    failing too often.
 
     Parameters
     ----------
     enabled : bool
-        False never sets a worker aside, to compare with.
+        If false, no worker is ever quarantined; used as a baseline.
     """
 
     def __init__(self, enabled: bool = True):
@@ -47,18 +48,18 @@
     def record_failure(
         self, vm: str, job: str, pool: Collection[str], now: float
     ) -> bool:
-        """Note a failed task; return whether the worker was set aside by it."""
+        """Record a failed task; return whether it quarantined the worker."""
         failures = self._failures.setdefault(vm, {})
         failures[job] = now
-        for name, when in list(failures.items()):
-            if when < now - FAILURE_WINDOW_SECONDS:
+        for name, failed_at in list(failures.items()):
+            if failed_at < now - FAILURE_WINDOW_SECONDS:
                 del failures[name]
-        present = self._terms.get(vm)
-        if present is not None and now < present.until:
-            return False  # it was running there before, and proves nothing new
-        if present is not None:
-            length = min(MAX_TERM_SECONDS, 2 * present.length)
-            self._terms[vm] = QuarantineTerm(now + length, length, present.since)
+        term = self._terms.get(vm)
+        if term is not None and now < term.until:
+            return False  # the task was started before the quarantine
+        if term is not None:
+            length = min(MAX_TERM_SECONDS, 2 * term.length)
+            self._terms[vm] = QuarantineTerm(now + length, length, term.since)
             return False
         if len(failures) < MIN_FAILED_JOBS or not self._has_room(pool):
             return False
@@ -68,38 +69,41 @@
         return True
 
     def _has_room(self, pool: Collection[str]) -> bool:
-        aside = sum(vm in self._terms for vm in pool)
-        return self._enabled and aside < max(1, int(MAX_QUARANTINED_SHARE * len(pool)))
+        quarantined = sum(vm in self._terms for vm in pool)
+        return self._enabled and quarantined < max(
+            1, int(MAX_QUARANTINED_SHARE * len(pool))
+        )
 
     def record_success(self, vm: str) -> None:
-        """Note a finished task: the worker is healthy."""
+        """Record a finished task: the worker is healthy and leaves quarantine."""
         self._failures.pop(vm, None)
         self._terms.pop(vm, None)
 
     def dismiss_failures(self, job: str, vms: Collection[str]) -> None:
-        """Drop the failures of a job that failed on several workers.
+        """Discard the failures of a job that failed on several workers.
 
-        The fault is the job's; a worker set aside for too few others returns.
+        The fault lies in the job. A worker in its first term that has too few
+        other failures leaves quarantine.
         """
         for vm in vms:
             failures = self._failures.get(vm, {})
             failures.pop(job, None)
-            present = self._terms.get(vm)
-            first_term = present is not None and present.length == FIRST_TERM_SECONDS
+            term = self._terms.get(vm)
+            first_term = term is not None and term.length == FIRST_TERM_SECONDS
             if first_term and len(failures) < MIN_FAILED_JOBS:
                 del self._terms[vm]
 
     def is_quarantined(self, vm: str, now: float) -> bool:
-        """Whether no task may start on the worker."""
-        present = self._terms.get(vm)
-        return present is not None and now < present.until
+        """Return whether no task may start on the worker."""
+        term = self._terms.get(vm)
+        return term is not None and now < term.until
 
     def is_on_trial(self, vm: str) -> bool:
-        """Whether the worker gets one bulk job at a time until one succeeds."""
+        """Return whether the worker gets one bulk job at a time until one succeeds."""
         return vm in self._terms
 
     def prune(self, vms: Collection[str]) -> None:
-        """Forget workers that left the fleet."""
+        """Remove workers that left the fleet."""
         for vm in [name for name in self._failures if name not in vms]:
             del self._failures[vm]
         for vm in [name for name in self._terms if name not in vms]:
--- a/wigeonhitch/placement/retention.py
+++ b/wigeonhitch/placement/retention.py
@@ -1,4 +1,4 @@
-"""Deletes the rows of jobs that ended long ago, under the shard's duty."""
+"""Deletion of the rows of jobs that ended long ago, under the shard's duty."""
 
 from wigeonhitch.membership import lease
 from wigeonhitch.placement import job, ledger
@@ -8,21 +8,22 @@
 
 PURPOSE = "retention"
 DAY_SECONDS = ledger.DAY_SECONDS
-# Long enough for submitters to read an outcome after a week's holiday closing;
-# until then a repeated submission finds its job.
+# Long enough for submitters to read a result after a week of holidays; until then
+# a repeated submission finds its job.
 RETENTION_SECONDS = 7 * DAY_SECONDS
-# Each look reads the markers of one day, so that none reads those of the days
-# that are still kept; all days of the last fortnight have their turn in 14 h.
+# Each scan reads the markers of one day only, and never those of days within the
+# retention. One scan an hour covers the 14 days before that in 14 h.
 SCAN_PERIOD_SECONDS = 3600.0
 SCANNED_DAYS = 14
-# A new holder has its live jobs to see to first.
+# A new holder of the duty handles its live jobs first.
 FIRST_SCAN_DELAY_SECONDS = 60.0
-# Jobs in one commit, one commit a step: placing goes on in between.
+# Jobs deleted in one commit; there is one commit in each step, so that placement
+# continues in between.
 MAX_JOBS_PER_COMMIT = 100
 
 
 class Retention:
-    """Looks for ended jobs to delete, and deletes them batch by batch.
+    """Finds ended jobs beyond the retention and deletes them in batches.
 
     Parameters
     ----------
@@ -39,15 +40,16 @@
         self._markers: list[str] = []
 
     def is_due(self, now: float) -> bool:
-        """Whether there is anything to look for or to delete."""
+        """Return whether a scan or a deletion is due."""
         if self._next_scan is None:
             self._next_scan = now + FIRST_SCAN_DELAY_SECONDS
         return bool(self._markers) or now >= self._next_scan
 
     async def sweep(self, held: lease.Lease, now: float) -> int:
-        """Look for ended jobs, or delete a batch; return how many were deleted.
+        """Scan for ended jobs, or delete a batch; return how many were deleted.
 
-        A commit that fails is left to a later look: deleting is never urgent.
+        After a failed commit a later scan finds the jobs again, as deletion is
+        never urgent.
         """
         if not self.is_due(now):
             return 0
@@ -65,11 +67,11 @@
 
     async def _scan_day(self, now: float) -> None:
         self._next_scan = now + SCAN_PERIOD_SECONDS
-        newest = int((now - RETENTION_SECONDS) // DAY_SECONDS) - 1
-        day = newest - int(now // SCAN_PERIOD_SECONDS) % SCANNED_DAYS
+        newest_day = int((now - RETENTION_SECONDS) // DAY_SECONDS) - 1
+        day = newest_day - int(now // SCAN_PERIOD_SECONDS) % SCANNED_DAYS
         prefix = f"{ledger.ENDED_PREFIX}{self._shard}/{day}/"
-        found = await self._table.scan(prefix, purpose=PURPOSE)
-        self._markers = [row.key for row in found.rows]
+        scanned = await self._table.scan(prefix, purpose=PURPOSE)
+        self._markers = [row.key for row in scanned.rows]
 
     async def _delete(self, held: lease.Lease, markers: list[str]) -> int | None:
         keys = [job.PREFIX + marker.split("/", 3)[3] for marker in markers]
