--- a/wigeonhitch/placement/reassignment.py
+++ b/wigeonhitch/placement/reassignment.py
@@ -1,4 +1,4 @@
-"""Starts whose fate is not known and whose worker can't be asked any more."""
+"""Reassignment of unconfirmed starts whose worker is no longer available."""
 
 from typing import Protocol
 
@@ -8,22 +8,22 @@
 
 
 class PlacementRound(Protocol):
-    """What is needed of a round of placing in one pool."""
+    """The parts of a placement round in one pool that reassignment needs."""
 
     shard: state.ShardState
     pool: str
     candidates: dict[str, selection.Candidate]
 
     def start(self, item: job.Job, vm: str, need: tuple[float, float]) -> job.Job:
-        """Return the job as started on a worker."""
+        """Return the job with its start on a worker."""
         ...
 
 
 def reassign_starts(pool_round: PlacementRound) -> int:
-    """Give starts whose fate is not known another worker, under one name.
+    """Move unconfirmed starts to another worker; return how many were moved.
 
-    The platform runs a task name once, so the same attempt may be started
-    elsewhere even if the first call still arrives.
+    The task name stays the same. The platform runs each name at most once, so
+    the attempt may be started elsewhere even if the first call still arrives.
     """
     shard = pool_round.shard
     count = 0
@@ -48,16 +48,16 @@
 
 
 def _find_unconfirmed(shard: state.ShardState, pool: str) -> list[str]:
-    found = []
+    unconfirmed = []
     for vm, names in shard.on_vm.items():
-        known = shard.vms.get(vm)
-        usable = known is not None and known.usable
+        worker = shard.vms.get(vm)
+        usable = worker is not None and worker.usable
         for name in names:
             entry = shard.jobs[name]
             item = entry.job
             if item.state is not job.JobState.STARTING or item.asked.pool != pool:
                 continue
-            waits = entry.refused or (not usable and not entry.flying)
-            if entry.unsure and not entry.known and waits:
-                found.append(name)
-    return sorted(found)
+            needs_worker = entry.refused or (not usable and not entry.flying)
+            if entry.unsure and not entry.known and needs_worker:
+                unconfirmed.append(name)
+    return sorted(unconfirmed)
--- a/wigeonhitch/placement/reconciliation.py
+++ b/wigeonhitch/placement/reconciliation.py
@@ -1,4 +1,4 @@
-"""What becomes of a job, given what is known of its present attempt."""
+"""Reconciliation of a job's record with what is known of its current attempt."""
 
 import math
 
@@ -6,29 +6,33 @@
 
 __all__ = ["reconcile", "reconcile_all", "record_result"]
 
-# Failures on this many different workers that were not set aside are the job's
-# own fault: it would go on costing every team a start elsewhere.
+# A job that failed on this many different workers outside quarantine is itself at
+# fault, and would keep using starts that other teams need.
 MAX_FAILED_WORKERS = 3
-# Attempts in all, also for lost workers: bounds what one job can ever cost.
+# Limit on all attempts, including those on lost workers: bounds the cost of a job.
 MAX_ATTEMPTS = 20
-# A job may name a pool that the holder's document doesn't have yet, since
-# documents reach daemons some seconds apart (9 s at most).
+# A job may name a pool that the holder's document doesn't contain yet, since
+# documents reach the daemons up to 9 s apart.
 POLICY_GRACE_SECONDS = 30.0
-# A checkpointed job whose worker has had no room for so long starts anew
-# elsewhere: later it would rather lose its progress than its deadline.
+# A checkpointed job whose worker had no room for this long restarts elsewhere: from
+# then on, losing its progress is better than missing its deadline.
 MAX_PAUSE_SECONDS = 120.0
-# Bulk that can end by itself soon is left to end when its worker drains.
+# Time for bulk jobs to end by themselves when their worker drains.
 DRAIN_GRACE_SECONDS = 60.0
-# Lagging usage that fills the reservation says that more cores may help.
+# Usage above this share of the reserved cores means that more cores may help; below
+# 1, as usage reports lag.
 SATURATED_SHARE = 0.95
-BLOCKS_DRAIN_REASON = "its worker drains and waits for it, as it must not run again"
-# Usage of a task that is this far has shown what it takes: a kind declared ten
-# times too large would otherwise hold whole workers until its first jobs end.
+BLOCKS_DRAIN_REASON = (
+    "its worker drains and is_blocking for it, as it must not run again"
+)
+# Progress from which the usage of a running task is representative. Without samples
+# of running tasks, a kind declared ten times too large would hold whole workers
+# until its first jobs end.
 MEMORY_SAMPLE_PROGRESS = 0.75
 CORES_SAMPLE_PROGRESS = 0.1
 MIN_RECLAIM_PROGRESS = 0.5
 RECLAIM_MEMORY_MARGIN = 1.3
-# Below this the room gained is not worth a write.
+# Below this ratio of reserved to needed size, the gain is not worth a write.
 MIN_RECLAIM_RATIO = 1.5
 MEMORY_GROWTH_FACTOR = 2.0
 
@@ -36,10 +40,10 @@
 
 
 def reconcile_all(shard: state.ShardState, now: float, limit: int) -> int:
-    """Settle up to ``limit`` jobs that something was learned about.
+    """Reconcile up to ``limit`` jobs for which there is new information.
 
-    Load: a wave of thousands of endings or cancellations. Harm: urgent work
-    would wait for the whole wave; the rest is left for the next step instead.
+    After thousands of ended or cancelled jobs, urgent work would wait for all of
+    them; the rest is left for the next step.
 
     Returns
     -------
@@ -47,11 +51,11 @@
         Number of jobs changed.
     """
     changed = 0
-    looked = 0
+    considered = 0
     for name in sorted(shard.unreconciled):
-        if changed >= limit or looked >= 10 * limit:
+        if changed >= limit or considered >= 10 * limit:
             break
-        looked += 1
+        considered += 1
         shard.unreconciled.discard(name)
         entry = shard.jobs.get(name)
         if entry is None:
@@ -93,33 +97,33 @@
 
 
 def find_obstacle(shard: state.ShardState, item: job.Job, now: float) -> str:
-    """Return why a job can never run, or an empty text.
+    """Return why a job can never run, or an empty string.
 
-    Harm prevented: a job that fits nowhere would be looked at for ever, and
-    as the head of its queue hold room that others could use.
+    A job that fits nowhere would be considered for ever and, at the head of its
+    queue, hold capacity that others could use.
     """
     policy = shard.policy
     asked = item.asked
     if policy is None:
         return ""
-    for what, name, known in (
+    for label, name, known in (
         ("pool", asked.pool, policy.kinds),
         ("team", asked.team, policy.teams),
     ):
         if name not in known:
-            young = now - item.submitted < POLICY_GRACE_SECONDS
-            return "" if young else f"no {what} {name!r} in the fleet document"
+            within_grace = now - item.submitted < POLICY_GRACE_SECONDS
+            return "" if within_grace else f"no {label} {name!r} in the fleet document"
     if shard.estimator.is_confident(asked.sizing_key):
         return ""
     kind, team = policy.kinds[asked.pool], policy.teams[asked.team]
-    for amount, most, unit, place in (
+    for amount, limit, unit, scope in (
         (asked.cores, kind.cores, "cores", f"a VM of pool {asked.pool}"),
         (asked.memory, kind.memory, "GB", f"a VM of pool {asked.pool}"),
         (asked.cores, team.cores, "cores", f"the whole quota of team {asked.team}"),
         (asked.memory, team.memory, "GB", f"the whole quota of team {asked.team}"),
     ):
-        if amount > most:
-            return f"needs {amount:g} {unit}, {place} has {most:g}"
+        if amount > limit:
+            return f"needs {amount:g} {unit}, {scope} has {limit:g}"
     return ""
 
 
@@ -162,27 +166,29 @@
 def _update_drain_reason(
     shard: state.ShardState, item: job.Job, now: float
 ) -> job.Job | None:
-    """Return the job with a reason that says whether it holds up a drain.
+    """Return the job with or without the reason that it blocks a drain.
 
-    Load: a wave reaches the worker of a job that must not run twice. Harm: to
-    stop it would leave it failed, "may have run", for a stop that can wait; so
-    the drain waits, without limit, and operators see for which job.
+    A drain waits without limit for a job that must not run twice: stopping the
+    job would end it as failed ("may have run"), while the drain can wait. The
+    reason shows operators which job blocks the drain.
     """
-    left = shard.unusable_since.get(item.vm)
-    waits = left is not None and now >= left + DRAIN_GRACE_SECONDS
-    waits = waits and not item.asked.rerun
-    if waits == (item.reason == BLOCKS_DRAIN_REASON):
+    unusable_since = shard.unusable_since.get(item.vm)
+    is_blocking = (
+        unusable_since is not None and now >= unusable_since + DRAIN_GRACE_SECONDS
+    )
+    is_blocking = is_blocking and not item.asked.rerun
+    if is_blocking == (item.reason == BLOCKS_DRAIN_REASON):
         return None
-    return item._replace(reason=BLOCKS_DRAIN_REASON if waits else "")
+    return item._replace(reason=BLOCKS_DRAIN_REASON if is_blocking else "")
 
 
 def reclaim_unused(entry: attempt.Attempt) -> job.Job | None:
-    """Return the job with what it doesn't use given back, or None.
+    """Return the job with its reservation reduced to its usage, or None.
 
-    Load: sizes declared ten times too large. Harm: workers that are reserved in
-    full and idle. The platform's limit for the task stays as it was at the
-    start; what the job uses beyond its reservation is counted against the
-    worker's room, and bulk is checkpointed before memory runs out.
+    Sizes declared ten times too large would leave workers fully reserved and
+    idle. The platform's limit for the task stays as it was at the start; usage
+    beyond the reservation is subtracted from the worker's free capacity, and
+    bulk is checkpointed before memory runs out.
     """
     item = entry.job
     if not item.holds_reservation or entry.seen.progress < MIN_RECLAIM_PROGRESS:
@@ -201,18 +207,18 @@
 
 
 def sample_usage(shard: state.ShardState, entry: attempt.Attempt, now: float) -> None:
-    """Learn from a task that is still running: its cores early, memory late."""
+    """Add a task's usage to the estimator: cores early, memory late in its run."""
     item = entry.job
-    done = entry.seen.progress
+    progress = entry.seen.progress
     cores, memory = entry.peak
     kind = item.asked.sizing_key
-    if done >= CORES_SAMPLE_PROGRESS and cores > 0 and not entry.sampled_cores:
+    if progress >= CORES_SAMPLE_PROGRESS and cores > 0 and not entry.sampled_cores:
         entry.sampled_cores = True
         if cores >= SATURATED_SHARE * item.cores:
-            ratio = (now - item.since) / done / item.asked.duration
+            ratio = (now - item.since) / progress / item.asked.duration
             cores = shard.estimator.record_saturated(kind, item.cores, ratio)
         shard.estimator.add_cores(kind, cores)
-    if done >= MEMORY_SAMPLE_PROGRESS and memory > 0 and not entry.sampled_memory:
+    if progress >= MEMORY_SAMPLE_PROGRESS and memory > 0 and not entry.sampled_memory:
         entry.sampled_memory = True
         shard.estimator.add_memory(kind, memory)
 
@@ -220,18 +226,20 @@
 def _should_restart(
     shard: state.ShardState, entry: attempt.Attempt, now: float
 ) -> bool:
-    """Whether the job had better start anew elsewhere."""
+    """Return whether the job should be stopped and restarted elsewhere."""
     item = entry.job
-    left = shard.unusable_since.get(item.vm)
-    if left is not None and now >= left + DRAIN_GRACE_SECONDS:
+    unusable_since = shard.unusable_since.get(item.vm)
+    if unusable_since is not None and now >= unusable_since + DRAIN_GRACE_SECONDS:
         return True
-    return item.paused and (left is not None or now >= item.since + MAX_PAUSE_SECONDS)
+    return item.paused and (
+        unusable_since is not None or now >= item.since + MAX_PAUSE_SECONDS
+    )
 
 
 def _end_attempt(
     shard: state.ShardState,
     entry: attempt.Attempt,
-    end: attempt.AttemptResult,
+    result: attempt.AttemptResult,
     reason: str,
     now: float,
 ) -> job.Job:
@@ -239,8 +247,8 @@
         peak_cores=max(entry.job.peak_cores, entry.peak[0]),
         peak_memory=max(entry.job.peak_memory, entry.peak[1]),
     )
-    reason = reason or end.value
-    if end is attempt.AttemptResult.FINISHED:
+    reason = reason or result.value
+    if result is attempt.AttemptResult.FINISHED:
         return _end_job(item, S.FINISHED, "", now)
     if item.cancel:
         return _end_job(item, S.CANCELLED, "stopped after it began", now)
@@ -248,10 +256,10 @@
         return _end_job(item, S.FAILED, f"may have run: {reason}", now)
     if item.attempt >= MAX_ATTEMPTS:
         return _end_job(item, S.FAILED, f"gave up after {MAX_ATTEMPTS} attempts", now)
-    if end is attempt.AttemptResult.MEMORY:
-        most = max(item.memory, item.peak_memory)
-        return _end_out_of_memory(shard, item._replace(memory=most), reason, now)
-    if end is attempt.AttemptResult.FAILED:
+    if result is attempt.AttemptResult.MEMORY:
+        memory = max(item.memory, item.peak_memory)
+        return _end_out_of_memory(shard, item._replace(memory=memory), reason, now)
+    if result is attempt.AttemptResult.FAILED:
         return _end_failed_attempt(shard, item, reason, now)
     return _requeue(item, item.attempt + 1, f"attempt {item.attempt}: {reason}", now)
 
@@ -259,11 +267,11 @@
 def _end_out_of_memory(
     shard: state.ShardState, item: job.Job, reason: str, now: float
 ) -> job.Job:
-    most = math.inf if shard.policy is None else shard.max_size(item)[1]
-    if item.memory >= most:
+    limit = math.inf if shard.policy is None else shard.max_size(item)[1]
+    if item.memory >= limit:
         text = f"used more than {item.memory:g} GB, the most it can have"
         return _end_job(item, S.REFUSED, text, now)
-    floor = min(most, MEMORY_GROWTH_FACTOR * item.memory)
+    floor = min(limit, MEMORY_GROWTH_FACTOR * item.memory)
     item = item._replace(floor=floor)
     return _requeue(item, item.attempt + 1, f"attempt {item.attempt}: {reason}", now)
 
@@ -281,17 +289,17 @@
 
 
 def record_result(shard: state.ShardState, entry: attempt.Attempt, now: float) -> None:
-    """Draw the lessons of an attempt that was just listed as ended."""
+    """Update estimator, quarantine and counters for an attempt listed as ended."""
     item = entry.job
-    end = entry.result
-    if end is attempt.AttemptResult.MEMORY:
+    result = entry.result
+    if result is attempt.AttemptResult.MEMORY:
         shard.counters["memory_kills"] += 1
-        least = max(entry.peak[1], MEMORY_GROWTH_FACTOR * item.memory)
-        shard.estimator.add_memory(item.asked.sizing_key, least)
-    elif end is attempt.AttemptResult.FINISHED:
+        min_memory = max(entry.peak[1], MEMORY_GROWTH_FACTOR * item.memory)
+        shard.estimator.add_memory(item.asked.sizing_key, min_memory)
+    elif result is attempt.AttemptResult.FINISHED:
         shard.quarantine.record_success(item.vm)
         sample_usage(shard, entry, now)
-    elif end is attempt.AttemptResult.FAILED:
+    elif result is attempt.AttemptResult.FAILED:
         shard.counters["failures"] += 1
         pool = shard.pools.get(item.asked.pool, [])
         if shard.quarantine.record_failure(item.vm, item.name, pool, now):
@@ -301,10 +309,10 @@
             shard.quarantine.dismiss_failures(item.name, [*others, item.vm])
 
 
-def _requeue(item: job.Job, number: int, reason: str, now: float) -> job.Job:
+def _requeue(item: job.Job, attempt_number: int, reason: str, now: float) -> job.Job:
     return item._replace(
         state=S.QUEUED,
-        attempt=number,
+        attempt=attempt_number,
         vm="",
         cores=0.0,
         memory=0.0,
@@ -315,6 +323,8 @@
     )
 
 
-def _end_job(item: job.Job, end: job.JobState, reason: str, now: float) -> job.Job:
-    """Return the ended job; ``vm``, ``cores`` and ``memory`` stay readable."""
-    return item._replace(state=end, reason=reason, paused=False, since=now)
+def _end_job(
+    item: job.Job, end_state: job.JobState, reason: str, now: float
+) -> job.Job:
+    """Return the ended job; ``vm``, ``cores`` and ``memory`` keep their values."""
+    return item._replace(state=end_state, reason=reason, paused=False, since=now)
--- a/wigeonhitch/placement/routes.py
+++ b/wigeonhitch/placement/routes.py
@@ -10,8 +10,8 @@
 __all__ = ["JobRoutes"]
 
 PURPOSE = "jobs"
-# Jobs cancelled by one request, and by one commit: a wave of thousands costs a
-# read and a few commits for each request instead of two calls for each job.
+# Limits on the jobs cancelled by one request and by one commit: cancelling thousands
+# costs one read and one commit for each 100 jobs instead of two calls for each job.
 MAX_CANCELS_PER_REQUEST = 1000
 MAX_CANCELS_PER_COMMIT = 100
 MAX_CANCEL_TRIES = 4
@@ -52,7 +52,7 @@
         ]
 
     async def submit(self, request: route.Request) -> route.Answer:
-        """Submit a job; a repeat with the same body finds the same job."""
+        """Submit a job; a repeat with the same body returns the same job."""
         asked = job.parse_submission(request.body)
         if isinstance(asked, str):
             return route.Answer(400, {"error": asked})
@@ -77,7 +77,7 @@
     def _make_signal_writes(
         self, item: job.Job, *, ended: bool = False
     ) -> list[table.Write]:
-        """Return the writes that tell the shard of a job of its change."""
+        """Return the writes that notify a job's shard of its change."""
         shard = view.find_shard(item.asked.pool, self._shards)
         value = None if ended else {}
         marker = table.Write(ledger.marker_key(shard, item.name), value)
@@ -95,12 +95,12 @@
             return TABLE_UNREACHABLE
         wanted = request.query.get("state", "")
         jobs = [job.decode(row.value) for row in read.rows if row.value is not None]
-        found = [item for item in jobs if wanted in ("", item.state.value)]
-        listed = [_summarize(item) for item in found[:MAX_LISTED_JOBS]]
-        return route.Answer(200, {"jobs": listed, "count": len(found)})
+        matching = [item for item in jobs if wanted in ("", item.state.value)]
+        listed = [_summarize(item) for item in matching[:MAX_LISTED_JOBS]]
+        return route.Answer(200, {"jobs": listed, "count": len(matching)})
 
     async def show(self, request: route.Request) -> route.Answer:
-        """Show one job: where it stands, why it waits, and since when."""
+        """Show one job: its state, why it waits, and since when."""
         read = await self._read(request.path["team"], [request.path["job"]])
         if read.outcome is not DONE:
             return TABLE_UNREACHABLE
@@ -110,7 +110,7 @@
         return route.Answer(200, describe(job.decode(row.value)))
 
     async def cancel(self, request: route.Request) -> route.Answer:
-        """Cancel one job: at once while queued, else by stopping its task."""
+        """Cancel one job: at once while queued, otherwise by stopping its task."""
         answer = await self._cancel(request.path["team"], [request.path["job"]])
         if answer.status != 200:
             return answer
@@ -123,8 +123,8 @@
     async def cancel_many(self, request: route.Request) -> route.Answer:
         """Cancel the jobs named in ``{"jobs": [...]}`` of one team."""
         names = request.body.get("jobs") if isinstance(request.body, dict) else None
-        good = isinstance(names, list) and all(isinstance(n, str) for n in names)
-        if not good or len(names) > MAX_CANCELS_PER_REQUEST:
+        is_valid = isinstance(names, list) and all(isinstance(n, str) for n in names)
+        if not is_valid or len(names) > MAX_CANCELS_PER_REQUEST:
             text = f"expected jobs: a list of at most {MAX_CANCELS_PER_REQUEST} job ids"
             return route.Answer(400, {"error": text})
         return await self._cancel(request.path["team"], sorted(set(names)))
@@ -145,7 +145,7 @@
     async def _cancel_chunk(
         self, team: str, names: Sequence[str], states: dict[str, str]
     ) -> route.Answer | None:
-        """Cancel in one commit; tried again when a job moved meanwhile."""
+        """Cancel jobs in one commit; repeated when a row changed meanwhile."""
         result = table.CommitResult(table.Outcome.NOT_DONE)
         for _ in range(MAX_CANCEL_TRIES):
             read = await self._read(team, names)
@@ -172,10 +172,10 @@
         conditions: list[table.Condition],
         writes: list[table.Write],
     ) -> str:
-        """Add what cancels a job; return the state that it then has.
+        """Append the writes that cancel a job; return its resulting state.
 
-        A queued job's attempt was never sent to the platform, so it can end
-        here; one that may have begun is ended by the holder of its shard.
+        The attempt of a queued job was never sent to the platform, so the job
+        can end here; one that may have begun is ended by the holder of its shard.
         """
         if row.value is None:
             return "unknown"
@@ -196,11 +196,11 @@
 
 
 def _answer_repeat(asked: job.Submission, row: table.Row) -> route.Answer:
-    present = job.decode(row.value)
-    if present.asked == asked:
-        return route.Answer(200, describe(present))
-    text = f"job {present.name} was submitted before with another body"
-    return route.Answer(409, {"error": text, "job": describe(present)})
+    existing = job.decode(row.value)
+    if existing.asked == asked:
+        return route.Answer(200, describe(existing))
+    text = f"job {existing.name} was submitted before with another body"
+    return route.Answer(409, {"error": text, "job": describe(existing)})
 
 
 def _summarize(item: job.Job) -> dict[str, Any]:
@@ -215,14 +215,14 @@
 
 
 def describe(item: job.Job) -> dict[str, Any]:
-    """Return what operators see of a job."""
-    shown = job.encode(item)
-    shown["task"] = item.task if item.vm else ""
-    return shown | _summarize(item) | {"due": item.due}
+    """Return a job as body to operators."""
+    body = job.encode(item)
+    body["task"] = item.task if item.vm else ""
+    return body | _summarize(item) | {"due": item.due}
 
 
 def explain(item: job.Job) -> str:
-    """Return why a job stands where it stands."""
+    """Return the reason for a job's current state."""
     if item.reason:
         return item.reason
     if item.state is S.QUEUED:
--- a/wigeonhitch/placement/rows.py
+++ b/wigeonhitch/placement/rows.py
@@ -23,7 +23,7 @@
 
 
 async def read_jobs(store: table.Table, target: core.Core, keys: Sequence[str]) -> bool:
-    """Load rows by key; false when the table can't be read."""
+    """Load rows by key; return False when the table can't be read."""
     for start in range(0, len(keys), MAX_ROWS_PER_READ):
         chunk = keys[start : start + MAX_ROWS_PER_READ]
         read = await store.read(chunk, purpose=PURPOSE)
@@ -34,7 +34,7 @@
 
 
 async def read_ledger(store: table.Table, target: core.Core, since: int) -> int | None:
-    """Load reservations and quotas; return the revision, None when that failed."""
+    """Load reservations and quotas; return the revision, or None on failure."""
     revisions = []
     for prefix in (ledger.RESERVATION_PREFIX, ledger.QUOTA_PREFIX):
         read = await store.scan(prefix, purpose=PURPOSE, since=since)
--- a/wigeonhitch/placement/scheduling.py
+++ b/wigeonhitch/placement/scheduling.py
@@ -1,33 +1,47 @@
-"""Place queued jobs on workers: urgent first, fair among teams, within quotas."""
+"""Placement of queued jobs: urgent first, fair among teams, within quotas."""
 
 from wigeonhitch.placement import attempt, job, reassignment, selection, state
 
 __all__ = ["place_all"]
 
-# Jobs of one team that are looked at behind one that has no room: enough to
-# fill gaps with small jobs, few enough that 130 teams cost little.
+# First jobs of a team's queue that are considered in a round: enough to fill gaps
+# with small jobs behind one that doesn't fit, few enough that 130 teams cost little.
 MAX_LOOKAHEAD_JOBS = 16
 # While urgent work waits, one start in four goes to bulk that would miss its
-# deadline: a steady stream of urgent work must not hold the closing back.
+# deadline, so that a steady stream of urgent work does not starve it.
 STARTS_PER_LATE_BULK = 4
-# A job that has waited so long and needs more than this share of a worker gets
-# one kept free of new bulk: small jobs would take each gap before it has grown.
-# Earlier, or for small jobs, keeping room idle costs more than the wait.
+# For a bulk job that has waited this long and needs more than this share of a
+# worker, one worker is kept free of new bulk: small jobs would fill each gap before
+# it is large enough. Earlier, or for small jobs, idle capacity costs more than the
+# wait.
 HOLD_DELAY_SECONDS = 60.0
 MIN_HOLD_SHARE = 0.5
-# Time for the checkpoints that make room for one urgent job.
+# Time allowed for the checkpoints that make room for one urgent job.
 PREEMPTION_SECONDS = 3.0
-# A pool in which nothing could be placed is looked at again after this.
+# A pool in which nothing more could be placed is tried again after this time.
 RETRY_DELAY_SECONDS = 1.0
-# Reasons written to rows in one step, and the least time between two writes
-# for one job: telling why must not cost more than placing.
+# Limits on writing wait reasons to rows, so that they cost less than placement:
+# writes in one step, time between two writes for one job, and time after submission.
 MAX_REASONS_PER_STEP = 10
 MIN_REASON_INTERVAL_SECONDS = 30.0
 REASON_DELAY_SECONDS = 5.0
 
 
 class PoolRound:
-    """One look at one pool: room left, and what was found not to fit."""
+    """One placement round of one pool: free capacity, and sizes that don't fit.
+
+    Attributes
+    ----------
+    unplaceable_sizes : list of tuple
+        Cores, memory and urgency of jobs for which no worker was found; larger
+        ones of the same urgency are not tried.
+    exhausted_teams : set of tuple
+        Teams, by urgency, of which no further job can be placed.
+    waiting : list of attempt.Attempt
+        Jobs that were considered and not placed.
+    quarantined : int
+        Number of quarantined workers of the pool.
+    """
 
     def __init__(self, shard: state.ShardState, pool: str, now: float):
         self.shard = shard
@@ -47,7 +61,7 @@
         self._release_hold()
 
     def _release_hold(self) -> None:
-        """Drop the hold once its job was placed or its worker can't be used."""
+        """Release the held worker if its job was placed or it can't be used."""
         name, vm = self.shard.held_workers.get(self.pool, ("", ""))
         entry = self.shard.jobs.get(name)
         queued = entry is not None and entry.job.state is job.JobState.QUEUED
@@ -69,15 +83,15 @@
         self.candidates[vm] = candidate
 
     def _find_late_teams(self) -> list[str]:
-        waiting = self.shard.backlog
+        backlog = self.shard.backlog
         return [
             team
-            for team in waiting.teams(self.pool, False)
-            if waiting.earliest_latest_start(self.pool, team) <= self.now
+            for team in backlog.teams(self.pool, False)
+            if backlog.earliest_latest_start(self.pool, team) <= self.now
         ]
 
     def place_one(self) -> bool:
-        """Place or resume one job; false when nothing more fits."""
+        """Place or resume one job; return False when nothing more fits."""
         backlog = self.shard.backlog
         first = (True, backlog.teams(self.pool, True))
         late = (False, self.late_teams)
@@ -97,23 +111,26 @@
         return False
 
     def _is_preempting(self) -> bool:
-        """Whether room is being made for an urgent job; bulk would take it."""
+        """Return whether room is being made for an urgent job.
+
+        Bulk placed now would take that room.
+        """
         backlog = self.shard.backlog
-        claims = self.shard.preemptions
+        preemptions = self.shard.preemptions
         return any(
-            name in claims and self._awaits_preemption(name)
+            name in preemptions and self._awaits_preemption(name)
             for team in backlog.teams(self.pool, True)
             for name in backlog.peek(self.pool, True, team, MAX_LOOKAHEAD_JOBS)
         )
 
     def _awaits_preemption(self, name: str) -> bool:
-        """Whether checkpoints for an urgent job are still on their way.
+        """Return whether checkpoints for an urgent job are still in progress.
 
-        Another urgent job may have taken the room; then it is made anew.
+        If they are done and another urgent job took the room, room is made again.
         """
         until, victims = self.shard.preemptions.get(name, (0.0, []))
         jobs = self.shard.jobs
-        pausing = any(jobs[each].pausing for each in victims if each in jobs)
+        pausing = any(jobs[victim].pausing for victim in victims if victim in jobs)
         return pausing and self.now < until
 
     def _place_from(self, teams: list[str], urgent: bool) -> bool:
@@ -130,10 +147,10 @@
         return False
 
     def _weighted_share(self, team: str) -> float:
-        """Return a team's larger share of the pool, over its weight."""
+        """Return a team's dominant share of the pool, divided by its weight."""
         used = self.shard.ledger.quota(team).items.get(self.pool, (0.0, 0.0))
-        known = self.shard.policy.teams.get(team)
-        weight = known.weight if known is not None else 1.0
+        team_policy = self.shard.policy.teams.get(team)
+        weight = team_policy.weight if team_policy is not None else 1.0
         return max(used[0] / self.cores, used[1] / self.memory) / weight
 
     def _try_place(self, entry: attempt.Attempt, urgent: bool) -> bool:
@@ -161,8 +178,8 @@
     def _select_worker(
         self, item: job.Job, need: tuple[float, float], urgent: bool
     ) -> selection.Candidate | None:
-        for cores, memory, kind in self.unplaceable_sizes:
-            if kind == urgent and need[0] >= cores and need[1] >= memory:
+        for cores, memory, is_urgent in self.unplaceable_sizes:
+            if is_urgent == urgent and need[0] >= cores and need[1] >= memory:
                 return None
         held_for, held = self.shard.held_workers.get(self.pool, ("", ""))
         options = {
@@ -176,8 +193,8 @@
             candidates, need, avoid=item.failed_on, **options
         )
         if candidate is None and item.failed_on:
-            rest = set(self.candidates) - set(item.failed_on)
-            if not rest:
+            untried = set(self.candidates) - set(item.failed_on)
+            if not untried:
                 candidate = selection.select_worker(
                     candidates, need, avoid=(), **options
                 )
@@ -186,7 +203,7 @@
         return candidate
 
     def start(self, item: job.Job, vm: str, need: tuple[float, float]) -> job.Job:
-        """Return the job as started on a worker."""
+        """Return the job with its start on a worker."""
         return item._replace(
             state=job.JobState.STARTING,
             vm=vm,
@@ -200,10 +217,12 @@
     def _record_no_room(
         self, entry: attempt.Attempt, need: tuple[float, float], urgent: bool
     ) -> None:
-        aside = (
+        quarantine_note = (
             f", {self.quarantined} workers are set aside" if self.quarantined else ""
         )
-        self._record_wait(entry, f"no usable worker of the pool has room{aside}")
+        self._record_wait(
+            entry, f"no usable worker of the pool has room{quarantine_note}"
+        )
         if urgent:
             self._preempt_bulk(entry.job, need)
         elif self.now > entry.job.submitted + HOLD_DELAY_SECONDS:
@@ -226,28 +245,30 @@
             if MIN_HOLD_SHARE < share <= 1.0 + selection.EPSILON:
                 large.append(vm)
         if large:
-            freest = min(large, key=lambda vm: shard.ledger.reservation(vm).total)
-            shard.held_workers[self.pool] = (item.name, freest)
+            least_reserved = min(
+                large, key=lambda vm: shard.ledger.reservation(vm).total
+            )
+            shard.held_workers[self.pool] = (item.name, least_reserved)
 
     def _preempt_bulk(self, item: job.Job, need: tuple[float, float]) -> None:
-        """Checkpoint the fewest bulk jobs that let an urgent job start."""
+        """Checkpoint the fewest bulk jobs that make room for an urgent job."""
         shard = self.shard
         if self._awaits_preemption(item.name):
             return
         victims = {vm: self._find_victims(vm) for vm in self.candidates}
-        found = selection.select_victims(
+        selected = selection.select_victims(
             self.candidates.values(), victims, need, item.failed_on
         )
-        if found is None:
+        if selected is None:
             return
-        shard.preemptions[item.name] = (self.now + PREEMPTION_SECONDS, found[1])
-        for name in found[1]:
+        shard.preemptions[item.name] = (self.now + PREEMPTION_SECONDS, selected[1])
+        for name in selected[1]:
             shard.jobs[name].pausing = True
             shard.pending_calls.add(name)
             shard.counters["checkpoints"] += 1
 
     def _find_victims(self, vm: str) -> list[selection.Victim]:
-        found = []
+        victims = []
         for name in self.shard.on_vm.get(vm, ()):
             entry = self.shard.jobs[name]
             item = entry.job
@@ -255,14 +276,14 @@
             if item.is_urgent or not running or entry.pausing or entry.result:
                 continue
             slack = selection.find_slack(entry, self.now)
-            found.append(selection.Victim(name, vm, item.cores, item.memory, slack))
-        return sorted(found)
+            victims.append(selection.Victim(name, vm, item.cores, item.memory, slack))
+        return sorted(victims)
 
     def _resume_one(self) -> bool:
         """Resume one paused job that has room again.
 
-        Comes after urgent work and before any new bulk, which would take the
-        room again and again until the paused job has to start anew.
+        Runs after urgent work and before new bulk, which would otherwise take
+        the room each time until the paused job has to restart.
         """
         if self.paused_jobs is None:
             self.paused_jobs = self._find_paused()
@@ -303,7 +324,7 @@
 
 
 def place_all(shard: state.ShardState, now: float, limit: int) -> int:
-    """Place up to ``limit`` jobs, one pool after the other in turn.
+    """Place up to ``limit`` jobs, taking the pools in turn, one job at a time.
 
     Returns
     -------
@@ -317,18 +338,18 @@
     for pool in pools:
         if pool in shard.dirty_pools or shard.pool_retry_at.get(pool, 0.0) <= now:
             rounds.append(PoolRound(shard, pool, now))
-    changed = sum(reassignment.reassign_starts(each) for each in rounds)
-    going = list(rounds)
-    while going and changed < limit:
-        ahead = []
-        for each in going:
-            if changed < limit and each.place_one():
+    changed = sum(reassignment.reassign_starts(pool_round) for pool_round in rounds)
+    active = list(rounds)
+    while active and changed < limit:
+        next_active = []
+        for pool_round in active:
+            if changed < limit and pool_round.place_one():
                 changed += 1
-                ahead.append(each)
+                next_active.append(pool_round)
             elif changed < limit:
-                shard.dirty_pools.discard(each.pool)
-                shard.pool_retry_at[each.pool] = now + RETRY_DELAY_SECONDS
-        going = ahead
+                shard.dirty_pools.discard(pool_round.pool)
+                shard.pool_retry_at[pool_round.pool] = now + RETRY_DELAY_SECONDS
+        active = next_active
     _write_reasons(shard, rounds, now)
     return changed
 
@@ -337,8 +358,8 @@
     shard: state.ShardState, rounds: list[PoolRound], now: float
 ) -> None:
     written = 0
-    for each in rounds:
-        for entry in each.waiting:
+    for pool_round in rounds:
+        for entry in pool_round.waiting:
             item = entry.job
             queued = item.state is job.JobState.QUEUED
             if (
@@ -347,8 +368,8 @@
                 or written >= MAX_REASONS_PER_STEP
             ):
                 continue
-            first = item.submitted + REASON_DELAY_SECONDS
-            if now < max(first, entry.told_at + MIN_REASON_INTERVAL_SECONDS):
+            earliest = item.submitted + REASON_DELAY_SECONDS
+            if now < max(earliest, entry.told_at + MIN_REASON_INTERVAL_SECONDS):
                 continue
             entry.told_at = now
             dirty = item.asked.pool in shard.dirty_pools
