--- a/wigeonhitch/placement/controller.py
+++ b/wigeonhitch/placement/controller.py
@@ -1,9 +1,9 @@
-"""The duty `placement/{shard}`: owns one core, reads, commits and calls.
+"""Controller of the duty `placement/{shard}`: runs one core against the platform.
 
-One task holds the state of a shard. Calls to the task service run beside it
+One task owns the state of a shard. Calls to the task service run concurrently
 and report through a memory object stream, so that a slow platform call never
-holds up the next commit. A shard without live jobs reads nothing: the daemon's
-`signal.SignalReader` says when its markers are to be read.
+delays the next commit. A shard without live jobs reads nothing: the daemon's
+`signal.SignalReader` tells when its markers must be read.
 """
 
 import collections
@@ -32,37 +32,37 @@
 __all__ = ["ShardController"]
 
 PURPOSE = "placement"
-# Usage lags by seconds anyway; 25 workers with four tasks each make 15 KB a
-# list, so 5 s keeps a shard near 3 KB a second.
+# Period of task lists. Usage lags by seconds anyway; a list of 25 workers with four
+# tasks each has 15 KB, so 5 s keeps a shard near 3 KB a second.
 USAGE_PERIOD_SECONDS = 5.0
-# While urgent work waits for room or quota, ended tasks are looked for at this
-# period instead: they hold both until they are seen to have ended.
+# Period of task lists while urgent work waits for capacity or quota, as ended
+# tasks hold both until a list shows their end.
 URGENT_USAGE_PERIOD_SECONDS = 1.0
 LEDGER_PERIOD_SECONDS = 5.0
-# Four tries within one lease.
+# Four renewals within one task lease.
 RENEW_PERIOD_SECONDS = 15.0
 MAX_TASKS_PER_RENEWAL = 200
-# Commits in one step, before new jobs and answers are looked at again.
+# Commits in one step before new jobs and answers are handled.
 MAX_COMMITS_PER_STEP = 4
 
 Spawn = Callable[..., None]
 
 
 class ShardController:
-    """Holder of one shard's duty.
+    """Competes for and carries out the duty of one shard.
 
     Parameters
     ----------
     platform : message.Platform
         Table, tasks, leases and views.
     reader : signal.SignalReader
-        What all shards of the daemon read together.
+        Signals and workers, read once for all shards of the daemon.
     shard : int
         Number of this shard.
     spawn : callable
-        Runs an async function beside the keeper, as a task group does.
+        Runs an async function concurrently, as a task group does.
     counters : collections.Counter
-        Counts what was done, for telemetry.
+        Counts of actions, for telemetry.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self._receive.close()
 
     async def run(self) -> None:
-        """Step whenever woken or answered."""
+        """Take a step whenever a message arrives."""
         try:
             while True:
                 self._handle_answer(await self._receive.receive())
@@ -106,9 +106,10 @@
             self.close()
 
     def wake(self) -> None:
-        """Let the keeper step if it has anything to do.
+        """Trigger a step if there is work.
 
-        That is: to take the duty over, jobs that are not ended, or a signal.
+        Work is a duty to take over, a live job, a signal, unconfirmed rows or a
+        due deletion.
         """
         if self._has_work() and not self._receive.statistics().current_buffer_used:
             self._send.send_nowait(message.Wake())
@@ -128,14 +129,14 @@
 
     @property
     def now(self) -> float:
-        """Return the table's time as estimated at takeover, in seconds.
+        """Return the table's time in seconds, estimated from the takeover.
 
-        It runs on a clock that counts suspension and never steps back.
+        Based on a monotonic clock that counts suspension.
         """
         return self._platform.clock() + self._clock_offset
 
     async def step(self) -> None:
-        """Take answers, read changes, decide, commit, and make calls."""
+        """Handle answers, read changes, decide, commit, and make calls."""
         self._receive_answers()
         held = self._platform.leases.current(self.duty)
         if self.core is None or (held is not None and held.fence != self.fence):
@@ -181,32 +182,32 @@
         self.core.record_renewal(answer.names, answer.outcome, self.now)
         lapsed = self._platform.leases.current(self.duty) is None
         if lapsed and answer.outcome is table.Outcome.NOT_DONE:
-            log.log_change("another holder renews the tasks", duty=self.duty)
+            log.log_change("task renewal refused after lease lapse", duty=self.duty)
             self.core = None
 
     async def _take_over(self, held: lease.Lease) -> bool:
         platform = self._platform
         prefix = f"{ledger.MARKER_PREFIX}{self.shard}/"
-        found = await platform.table.scan(prefix, purpose=PURPOSE)
-        if found.outcome is not table.Outcome.DONE:
+        scanned = await platform.table.scan(prefix, purpose=PURPOSE)
+        if scanned.outcome is not table.Outcome.DONE:
             return False
-        fresh = core.Core(self.shard, held.fence)
-        if await rows.read_ledger(platform.table, fresh, 0) is None:
+        new_core = core.Core(self.shard, held.fence)
+        if await rows.read_ledger(platform.table, new_core, 0) is None:
             return False
-        keys = [rows.find_job_key(row.key) for row in found.rows]
-        if not await rows.read_jobs(platform.table, fresh, keys):
+        keys = [rows.find_job_key(row.key) for row in scanned.rows]
+        if not await rows.read_jobs(platform.table, new_core, keys):
             return False
-        self._clock_offset = found.time - platform.clock()
-        self._marker_revision = self._ledger_revision = found.revision
+        self._clock_offset = scanned.time - platform.clock()
+        self._marker_revision = self._ledger_revision = scanned.revision
         self._last_run = {"ledger": self.now}
         self._unconfirmed = set()
-        self.core, self.fence = fresh, held.fence
+        self.core, self.fence = new_core, held.fence
         self._counters["takeovers"] += 1
         log.log_change("placement taken over", duty=self.duty, jobs=len(keys))
         return True
 
     async def _refresh(self) -> bool:
-        """Read what others changed; false when the table can't be read."""
+        """Read what others changed; return False when the table can't be read."""
         if not await self._read_unconfirmed():
             return False
         if self._is_signalled() and not await self._read_markers():
@@ -225,14 +226,14 @@
         self.core.update_fleet(self._reader.list_vms(self.shard), self.now)
         return True
 
-    def _is_due(self, what: str, period: float) -> bool:
-        if self.now < self._last_run.get(what, -math.inf) + period:
+    def _is_due(self, action: str, period: float) -> bool:
+        if self.now < self._last_run.get(action, -math.inf) + period:
             return False
-        self._last_run[what] = self.now
+        self._last_run[action] = self.now
         return True
 
     async def _read_unconfirmed(self) -> bool:
-        """Read back the rows of a commit whose fate was not known."""
+        """Read back the rows of a commit with unknown outcome."""
         if self._unconfirmed and not await self._read_jobs(sorted(self._unconfirmed)):
             return False
         self._unconfirmed = set()
@@ -243,31 +244,33 @@
 
     async def _read_markers(self) -> bool:
         prefix = f"{ledger.MARKER_PREFIX}{self.shard}/"
-        found = await self._platform.table.scan(
+        scanned = await self._platform.table.scan(
             prefix, purpose=PURPOSE, since=self._marker_revision
         )
-        if found.outcome is not table.Outcome.DONE:
+        if scanned.outcome is not table.Outcome.DONE:
             return False
-        gone = [row for row in found.rows if row.value is None]
-        self.core.load(table.Row(rows.find_job_key(row.key), None, 0) for row in gone)
+        removed = [row for row in scanned.rows if row.value is None]
+        self.core.load(
+            table.Row(rows.find_job_key(row.key), None, 0) for row in removed
+        )
         keys = [
-            rows.find_job_key(row.key) for row in found.rows if row.value is not None
+            rows.find_job_key(row.key) for row in scanned.rows if row.value is not None
         ]
         if not await self._read_jobs(keys):
             return False
-        self._marker_revision = max(self._marker_revision, found.revision)
+        self._marker_revision = max(self._marker_revision, scanned.revision)
         return True
 
     async def _read_ledger(self) -> bool:
-        store = self._platform.table
-        revision = await rows.read_ledger(store, self.core, self._ledger_revision)
+        client = self._platform.table
+        revision = await rows.read_ledger(client, self.core, self._ledger_revision)
         if revision is None:
             return False
         self._ledger_revision = revision
         return True
 
     async def _commit(self, held: lease.Lease) -> bool:
-        """Commit one batch; false when there is none or it did not succeed."""
+        """Commit one batch; return False when there was none or it failed."""
         if self.core is None or self._platform.leases.current(self.duty) is None:
             return False
         batch = self.core.decide(self.now)
@@ -284,7 +287,7 @@
             return True
         self.core.undo(batch)
         if any(row.key == held.condition.key for row in result.conflicts):
-            log.log_change("replaced by another holder", duty=self.duty)
+            log.log_change("placement duty lost to another holder", duty=self.duty)
             self.core = None
         elif result.outcome is table.Outcome.UNKNOWN:
             self._unconfirmed = {condition.key for condition in batch.conditions}
@@ -293,11 +296,11 @@
         return False
 
     def _renew(self) -> None:
-        """Renew task leases, also while the duty lease can't be renewed.
+        """Renew task leases, even while the duty lease can't be renewed.
 
-        During an outage of the table nobody else can take the duty, and a
-        renewal starts nothing; the platform refuses it once a later holder
-        has shown its fencing token.
+        During an outage of the table nobody else can take over the duty, and a
+        renewal starts nothing; the platform refuses it once it has the fencing
+        token of a later holder.
         """
         if not self._is_due("renew", RENEW_PERIOD_SECONDS):
             return
@@ -310,9 +313,10 @@
         state = self.core.state
         if not any(state.on_vm.values()):
             return
-        waits = state.backlog.has_urgent()
+        urgent_waiting = state.backlog.has_urgent()
         if not self._is_due(
-            "usage", URGENT_USAGE_PERIOD_SECONDS if waits else USAGE_PERIOD_SECONDS
+            "usage",
+            URGENT_USAGE_PERIOD_SECONDS if urgent_waiting else USAGE_PERIOD_SECONDS,
         ):
             return
         vms = tuple(sorted(set(state.vms) | set(state.on_vm)))
@@ -320,7 +324,7 @@
             self._spawn(self._fetch_tasks, self.fence, vms, self.now)
 
     async def _make_call(self, fence: int, call: calls.Call) -> None:
-        """Make one call, after a last look at the lease."""
+        """Make one call if the duty lease is still held."""
         held = self._platform.leases.current(self.duty)
         if held is None or held.fence != fence:
             self._send.send_nowait(message.Answered(fence, call, None))
--- a/wigeonhitch/placement/runner.py
+++ b/wigeonhitch/placement/runner.py
@@ -1,4 +1,4 @@
-"""The placement duties of one daemon: one keeper for each shard."""
+"""The placement duties of one daemon: one controller for each shard."""
 
 import collections
 from collections.abc import Sequence
@@ -9,13 +9,13 @@
 
 __all__ = ["Runner"]
 
-# Urgent work is to start within 1.7 s: half a second to notice a job, and two
-# round trips for the commit and the start, leave a second for a checkpoint.
+# Urgent work must start within 1.7 s: 0.5 s to notice a job and two round trips for
+# the commit and the start leave about 1 s for a checkpoint.
 POLL_SECONDS = 0.5
 
 
 class Runner:
-    """All shards of one daemon: competes for each duty and keeps those it holds.
+    """Runs the controllers of all shards, which compete for their duties.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
         self.counters: collections.Counter[str] = collections.Counter()
 
     async def run(self) -> None:
-        """Run until cancelled; releases the duties on the way out."""
+        """Run until cancelled, then release the duties."""
         duties = [view.duty_name(shard) for shard in range(self._shards)]
         for duty in duties:
             self._platform.leases.want(duty)
--- a/wigeonhitch/placement/signal.py
+++ b/wigeonhitch/placement/signal.py
@@ -1,4 +1,4 @@
-"""What all shards of one daemon read together: signals, and the view in memory."""
+"""Data that all shards of a daemon read together: signals and the list of workers."""
 
 import collections
 from collections.abc import Sequence
@@ -13,10 +13,10 @@
 
 
 def make_write(shard: int) -> table.Write:
-    """Return the write that tells a shard's holder to read its markers.
+    """Return the write that makes a shard's holder read its markers.
 
-    It goes with every commit of a submission or a cancellation, without a
-    condition, so that submissions never hold each other up.
+    It is part of each commit of a submission or a cancellation. It has no
+    condition, so that submissions never conflict with each other.
 
     Examples
     --------
@@ -27,11 +27,11 @@
 
 
 class SignalReader:
-    """Reads the shards' signals once for all shards of a daemon.
+    """Reads the signals once for all shards of a daemon.
 
-    Load: 32 shards on one daemon, most of which have no job. Harm: each that
-    reads for itself costs 2.4 reads a second and half a percent of a core for
-    nothing. One incremental scan returns only the signals that moved.
+    One incremental scan returns only the signals that changed. If each of 32
+    shards on a daemon, most of them without jobs, read for itself, it would cost
+    2.4 reads a second and half a percent of a core for nothing.
 
     Parameters
     ----------
@@ -55,23 +55,25 @@
         self.revisions: dict[int, int] = {}
 
     async def read(self) -> list[int]:
-        """Return the shards whose signals moved; none while the table is down."""
-        found = await self._platform.table.scan(
+        """Return the shards whose signals changed; none while the table is down."""
+        scanned = await self._platform.table.scan(
             PREFIX, purpose=PURPOSE, since=self._revision
         )
-        if found.outcome is not table.Outcome.DONE:
+        if scanned.outcome is not table.Outcome.DONE:
             return []
-        moved = [int(row.key.removeprefix(PREFIX)) for row in found.rows]
-        self.revisions |= zip(moved, (row.version for row in found.rows), strict=True)
-        self._revision = max(self._revision, found.revision)
-        return [shard for shard in moved if shard < self._shards]
+        changed = [int(row.key.removeprefix(PREFIX)) for row in scanned.rows]
+        self.revisions |= zip(
+            changed, (row.version for row in scanned.rows), strict=True
+        )
+        self._revision = max(self._revision, scanned.revision)
+        return [shard for shard in changed if shard < self._shards]
 
     def clear_cache(self) -> None:
-        """Look at the workers anew when one is next asked for."""
+        """Discard the list of workers, so that the next use reads it again."""
         self._vms = None
 
     def list_vms(self, shard: int) -> Sequence[view.Vm]:
-        """Return the workers of a shard's pools, sorted once for all shards."""
+        """Return the workers of a shard's pools, grouped once for all shards."""
         if self._vms is None:
             self._vms = collections.defaultdict(list)
             for vm in self._platform.fleet():
--- a/wigeonhitch/placement/size.py
+++ b/wigeonhitch/placement/size.py
@@ -1,4 +1,4 @@
-"""Sizes of jobs, learned from the usage that workers report with a lag."""
+"""Estimation of job sizes from the usage that workers report with a lag."""
 
 import collections
 import math
@@ -8,24 +8,26 @@
 
 __all__ = ["SizeEstimator"]
 
-# Enough peaks that the 95th percentile is not just the highest; at 16 bytes a
-# peak and MAX_KINDS kinds the whole learner stays under 10 MB.
+# Enough peaks that the 95th percentile is not always the highest; at 16 bytes a
+# peak and MAX_KINDS kinds the estimator stays under 10 MB.
 MAX_PEAKS = 64
 MAX_KINDS = 4096
-# Below this the declared size stays the lower limit. A kind that is declared ten
-# times too large has few jobs running at once, so waiting for more peaks keeps
-# workers idle for long; FEW_PEAKS_MARGIN widens the margin for few peaks instead.
+# With fewer peaks, the declared size is the lower limit of the estimate. A kind that
+# is declared ten times too large has few jobs running at once, so requiring more
+# peaks would keep workers idle for long; instead, FEW_PEAKS_MARGIN, divided by the
+# number of peaks, widens the memory margin.
 MIN_PEAKS = 4
 FEW_PEAKS_MARGIN = 0.6
-# One attempt in twenty meets a size above the estimate; what it does not cover
-# is caught by checkpointing bulk before the VM is out of memory.
+# One attempt in twenty exceeds the estimate; checkpointing bulk before the VM runs
+# out of memory handles those.
 PEAK_QUANTILE = 0.95
-# Usage is sampled seconds apart, so a true peak lies above the seen one. Memory
-# only: a job short of cores is slower, and one that takes all the cores it gets
-# would be given more and more of them.
+# Usage is sampled seconds apart, so the true peak lies above the observed one. For
+# memory only: a job short of cores is merely slower, and a job that uses all cores
+# it gets would be given ever more of them.
 MEMORY_MARGIN = 1.15
-# Cores are raised step by step while that makes the kind's jobs faster by at
-# least a tenth: some use whatever they get and are done no sooner.
+# Cores are raised step by step while that shortens the run time of the kind's jobs
+# by at least a tenth: some jobs use all cores they get and finish no sooner.
+# Compared are the last RUNS_PER_LEVEL jobs at each of up to MAX_LEVELS levels.
 CORES_GROWTH_FACTOR = 1.5
 MAX_RUN_TIME_RATIO = 0.9
 RUNS_PER_LEVEL = 4
@@ -33,23 +35,23 @@
 
 
 class Peaks(NamedTuple):
-    """Last peaks of one kind."""
+    """Latest usage peaks of one kind."""
 
     cores: deque
     memory: deque
 
 
 class SizeEstimator:
-    """High quantile of peak usage for each kind of job.
+    """Estimates sizes as a high quantile of peak usage for each kind of job.
 
-    Load: declared sizes that are off by up to ten times both ways. Harm: too
-    small a reservation gets tasks killed for memory, too large a one leaves
-    workers idle while deadlines pass. The declared size is the prior only.
+    Declared sizes are off by up to ten times in both directions. Too small a
+    reservation gets tasks killed for memory; too large a one leaves workers idle
+    while deadlines pass. The declared size is used only as a prior.
 
     Parameters
     ----------
     enabled : bool
-        False returns declared sizes, to compare with.
+        If false, declared sizes are returned; used as a baseline.
     """
 
     def __init__(self, enabled: bool = True):
@@ -59,7 +61,7 @@
         self._max_cores: dict[str, float] = {}
 
     def add_cores(self, kind: str, cores: float) -> None:
-        """Add the cores that one attempt used or could have used."""
+        """Add the cores that one attempt used, or is expected to be able to use."""
         self._get_peaks(kind).cores.append(cores)
 
     def add_memory(self, kind: str, memory: float) -> None:
@@ -77,7 +79,7 @@
         return self._peaks[kind]
 
     def record_saturated(self, kind: str, cores: float, ratio: float) -> float:
-        """Note a job that used all its cores; return what to learn from it.
+        """Record a job that used all its cores; return the cores to learn from it.
 
         Parameters
         ----------
@@ -86,27 +88,27 @@
         cores : float
             Its reservation.
         ratio : float
-            Its run time over the expected one.
+            Its run time divided by the expected run time.
         """
         runs = self._run_ratios.setdefault(kind, {})
         runs.setdefault(cores, []).append(ratio)
         if len(runs) > MAX_LEVELS:
             del runs[min(runs)]
-        known = {
+        sampled = {
             level: times
             for level, times in runs.items()
             if len(times) >= RUNS_PER_LEVEL
         }
-        below = [level for level in known if level < cores]
-        if cores in known and below:
-            before = known[max(below)][-RUNS_PER_LEVEL:]
-            if sum(runs[cores][-RUNS_PER_LEVEL:]) > MAX_RUN_TIME_RATIO * sum(before):
+        below = [level for level in sampled if level < cores]
+        if cores in sampled and below:
+            previous = sampled[max(below)][-RUNS_PER_LEVEL:]
+            if sum(runs[cores][-RUNS_PER_LEVEL:]) > MAX_RUN_TIME_RATIO * sum(previous):
                 self._max_cores.setdefault(kind, max(below))
         runs[cores] = runs[cores][-RUNS_PER_LEVEL:]
         return min(CORES_GROWTH_FACTOR * cores, self._max_cores.get(kind, math.inf))
 
     def is_confident(self, kind: str) -> bool:
-        """Whether enough peaks were seen to set the declared size aside."""
+        """Return whether there are enough peaks to ignore the declared size."""
         peaks = self._peaks.get(kind)
         if not self._enabled or peaks is None:
             return False
@@ -136,8 +138,8 @@
         peaks = self._peaks.get(kind)
         if not self._enabled or peaks is None:
             return cores, memory
-        most = self._max_cores.get(kind, math.inf)
-        learned = min(most, _quantile(peaks.cores)) if peaks.cores else cores
+        max_cores = self._max_cores.get(kind, math.inf)
+        learned = min(max_cores, _quantile(peaks.cores)) if peaks.cores else cores
         if len(peaks.cores) < MIN_PEAKS:
             learned = max(cores, learned)
         if not peaks.memory:
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -1,7 +1,7 @@
-"""Everything that one holder of a placement duty knows, and how it changes.
+"""In-memory state of one holder of a placement duty, and its changes.
 
 Decisions change jobs only through `ShardState.apply_change`, which keeps the
-queues, the reservations and the quotas in step and remembers what to commit.
+queues, reservations and quotas consistent and records what to commit.
 """
 
 import collections
@@ -20,14 +20,14 @@
 
 __all__ = ["ShardState"]
 
-# Least cores and memory (GB) of a reservation: smaller ones gain next to nothing
-# in packing, and a job declared ten times too small would run for hours.
+# Minimum cores and memory (GB) of a reservation: smaller ones hardly improve
+# packing, and a job declared ten times too small would run for hours.
 MIN_SIZE = (0.5, 0.5)
 QUEUED = job.JobState.QUEUED
 
 
 class ShardState:
-    """Live jobs, workers, rows and lessons of one shard.
+    """Live jobs, workers, ledger rows and estimates of one shard.
 
     Parameters
     ----------
@@ -36,7 +36,25 @@
     fence : int
         Fencing token of the duty lease.
     estimator, worker_quarantine : optional
-        Learned sizes and quarantine.
+        Size estimator and quarantine.
+
+    Attributes
+    ----------
+    unusable_since : dict of str to float
+        When a worker with tasks was first seen as unusable.
+    cooldown_until : dict of str to float
+        Until when a worker that refused a start gets no new job.
+    overrun : dict of str to tuple
+        Cores and memory used on a worker beyond its reservations.
+    unreconciled, pending_calls : set of str
+        Jobs to reconcile, and jobs that may need a call.
+    dirty_pools : set of str
+        Pools in which a job may have become placeable.
+    held_workers : dict of str to tuple
+        For each pool the job that waits for a whole worker, and that worker.
+    preemptions : dict of str to tuple
+        For each urgent job, until when it waits for the bulk jobs that are
+        being checkpointed for it, and their names.
     """
 
     def __init__(
@@ -72,7 +90,7 @@
         self._changed: dict[str, job.Job] = {}
 
     def load_job(self, item: job.Job, version: int) -> None:
-        """Take over a job as read; the rows of the ledger come on their own."""
+        """Load a job as read; the rows of the ledger are loaded separately."""
         entry = self.jobs.get(item.name)
         if entry is not None and version <= entry.version:
             return
@@ -85,14 +103,14 @@
         self._replace(entry, item)
 
     def drop_job(self, name: str) -> None:
-        """Forget a job whose row is gone."""
+        """Remove a job that has ended or whose row was deleted."""
         entry = self.jobs.pop(name, None)
         if entry is not None:
             self._unindex(entry.job)
             self.dirty_pools.add(entry.job.asked.pool)
 
     def apply_change(self, entry: attempt.Attempt, new: job.Job) -> None:
-        """Decide a change of a job: applied here now, committed next."""
+        """Apply a change of a job in memory and record it for the next commit."""
         old = entry.job
         self._changed.setdefault(old.name, old)
         self.ledger.apply_change(old, new)
@@ -110,7 +128,7 @@
         return self.ledger.build(changes, self.shard)
 
     def confirm(self, batch: ledger.Batch, revision: int) -> None:
-        """Note that a commit took effect; ended jobs are forgotten."""
+        """Record that a commit took effect; ended jobs are removed."""
         self.ledger.confirm(batch, revision)
         for name in batch.before:
             entry = self.jobs[name]
@@ -122,7 +140,7 @@
                 self.pending_calls.add(name)
 
     def undo(self, batch: ledger.Batch) -> None:
-        """Take back a commit that did not take effect, or may not have."""
+        """Revert a commit that did not take effect, or may not have."""
         for name, old in batch.before.items():
             entry = self.jobs[name]
             self.ledger.apply_change(entry.job, old)
@@ -163,18 +181,20 @@
                     del self.groups[group]
 
     def update_fleet(self, vms: Iterable[view.Vm], now: float) -> None:
-        """Take the present view of the workers."""
-        seen = {vm.vm: vm for vm in vms}
-        if seen != self.vms:
-            self.dirty_pools.update(vm.pool for vm in seen.values())
-        self.vms = seen
+        """Apply the current view of the workers."""
+        current = {vm.vm: vm for vm in vms}
+        if current != self.vms:
+            self.dirty_pools.update(vm.pool for vm in current.values())
+        self.vms = current
         self.pools = {}
         for vm in self.vms.values():
             self.pools.setdefault(vm.pool, []).append(vm.vm)
         usable = {vm.vm for vm in self.vms.values() if vm.usable}
-        gone = {vm for vm, names in self.on_vm.items() if names and vm not in usable}
-        self.unusable_since = {vm: self.unusable_since.get(vm, now) for vm in gone}
-        for vm in gone:
+        unusable = {
+            vm for vm, names in self.on_vm.items() if names and vm not in usable
+        }
+        self.unusable_since = {vm: self.unusable_since.get(vm, now) for vm in unusable}
+        for vm in unusable:
             self.unreconciled |= self.on_vm[vm]
         self.quarantine.prune(self.vms)
         for vm in [vm for vm, names in self.on_vm.items() if not names]:
@@ -182,7 +202,7 @@
             self.overrun.pop(vm, None)
 
     def update_overrun(self, vms: Iterable[str]) -> None:
-        """Work out by how much the tasks of workers exceed their reservations."""
+        """Update by how much the tasks of workers exceed their reservations."""
         for vm in vms:
             cores = memory = 0.0
             for name in self.on_vm.get(vm, ()):
@@ -193,21 +213,21 @@
             self.overrun[vm] = (cores, memory)
 
     def free_capacity(self, vm: str) -> tuple[float, float]:
-        """Return free cores and memory: neither reserved nor used beyond that."""
+        """Return the cores and memory that are neither reserved nor overrun."""
         capacity = self.vms[vm]
-        held = self.ledger.reservation(vm).total
-        over = self.overrun.get(vm, (0.0, 0.0))
+        reserved = self.ledger.reservation(vm).total
+        overrun = self.overrun.get(vm, (0.0, 0.0))
         return (
-            capacity.cores - held[0] - over[0],
-            capacity.memory - held[1] - over[1],
+            capacity.cores - reserved[0] - overrun[0],
+            capacity.memory - reserved[1] - overrun[1],
         )
 
     def required_size(self, item: job.Job) -> tuple[float, float]:
-        """Return what to reserve for a job: learned, never above what can be had.
+        """Return the size to reserve for a job: the estimate within its limits.
 
-        A learned size above the largest worker or the whole quota would hold
-        the job for ever, so it is cut to that; a task that is killed for
-        memory raises ``floor``.
+        An estimate above the pool's VM size or the team's quota would block the
+        job for ever, so it is capped; a kill for lack of memory raises
+        ``floor``.
         """
         asked = item.asked
         family = asked.sizing_key
@@ -218,7 +238,7 @@
         return min(cores, limits[0]), min(memory, limits[1])
 
     def max_size(self, item: job.Job) -> tuple[float, float]:
-        """Return the most that a job can ever be given."""
+        """Return the largest size that a job can ever get."""
         sizes = [
             self.policy.kinds.get(item.asked.pool),
             self.policy.teams.get(item.asked.team),
@@ -228,7 +248,7 @@
         return cores, min((size.memory for size in known), default=math.inf)
 
     def failure_domain(self, vm: str) -> str:
-        """Return the failure domain of a worker, as its pool counts them."""
+        """Return the failure domain of a worker, as defined by its pool."""
         item = self.vms.get(vm)
         if item is None:
             return ""
@@ -236,7 +256,7 @@
         return item.rack if spread == "rack" else item.data_centre
 
     def count_by_domain(self, item: job.Job) -> Mapping[str, int]:
-        """Return how many jobs of the same spread group each domain has."""
+        """Return the number of jobs of the same spread group in each domain."""
         names = self.groups.get((item.asked.pool, item.asked.spread), ())
         return collections.Counter(
             self.failure_domain(self.jobs[name].job.vm) for name in names
--- a/wigeonhitch/placement/view.py
+++ b/wigeonhitch/placement/view.py
@@ -1,4 +1,4 @@
-"""What placement knows of the fleet: its workers and the teams' quotas."""
+"""Fleet data that placement uses: workers, and teams' quotas."""
 
 import math
 import zlib
@@ -10,14 +10,14 @@
 __all__ = ["SHARDS", "Policy", "Vm", "duty_name", "find_shard", "make_policy"]
 
 # A shard reads its marker rows twice a second and its usage every 5 s, so S
-# shards cost about 2.4 S reads a second whatever the number of pools: 77 of the
-# table's 2000 at 32. One duty a pool would cost 310 at 128 pools; one duty in
-# all would list 800 workers on one daemon. See docs/design/placement.md.
+# shards cost about 2.4 S reads a second for any number of pools: with 32 shards, 77
+# of the table's 2000. One duty for each pool would cost 310 with 128 pools; a single
+# duty would list 800 workers on one daemon. See docs/design/placement.md.
 SHARDS = 32
 
 
 class Vm(NamedTuple):
-    """One worker as the fleet slice sees it.
+    """One worker as reported by fleet management.
 
     ``usable`` is false while the VM drains, leaves, reboots or is checked.
     """
