--- a/wigeonhitch/configuration/acceptance.py
+++ b/wigeonhitch/configuration/acceptance.py
@@ -1,23 +1,21 @@
-"""Decide how a submitted document becomes the version in force.
-
-Nothing here reads or writes. Each function takes the rows as they were read
-and returns either the result or one commit to try; `store` does the reading
-and committing and decides again after every commit that was not done.
-
-Load: some 520 changes a day, a handful of operators at once. Harm prevented:
-two versions from one submission, a version built on another than the one its
-author saw, a change without its approvals, a document in force that came from
-an approval of something else.
-
-Why each is prevented:
-
-- every commit has the condition that ``configuration/current`` is unchanged
-  since it was read, so of several racing submissions one wins and the others
-  learn the version to rebase on;
-- every commit has a condition on the proposal's own row, so a commit that is
-  tried again after a lost answer cannot take effect twice;
-- the version row, the current row, the proposal and the signal change in one
-  commit, so nobody sees a part of it.
+"""Decisions on submissions, approvals and rejections, without I/O.
+
+Each function takes the rows as they were read and returns either the result
+or one commit to try; `store` reads and commits, and calls it again after every
+commit that was not done.
+
+Sized for some 520 changes a day by a handful of concurrent operators. One
+submission never becomes two versions, a version is based on the one that its
+author saw, and a document comes into force only with the approvals given for
+exactly its content:
+
+- each commit of a submission or an approval is conditional on
+  ``configuration/current`` being unchanged since it was read, so one of several
+  concurrent submissions wins and the others get the version to rebase on;
+- each commit is conditional on the proposal's own row, so that a commit that is
+  retried after a lost answer cannot take effect twice;
+- the version row, the current row, the proposal and the signal row change in
+  one commit, so that no reader sees only some of them.
 """
 
 import enum
@@ -37,7 +35,7 @@
 
 
 class Status(enum.Enum):
-    """What became of an operator's request; sentinels, not exceptions."""
+    """Outcome of an operator's request, returned rather than raised."""
 
     ACCEPTED = "accepted"
     WAITING = "waiting for approval"
@@ -60,24 +58,24 @@
     Parameters
     ----------
     status : Status
-        What became of it.
+        Outcome of the request.
     version : int
         The version now in force as far as is known: the new one when
         accepted, the one to rebase on after a conflict.
-    known : proposal.Proposal or None
-        The proposal as it stands.
+    stored : proposal.Proposal or None
+        The proposal as stored after the request.
     reason : str
-        Details for people.
+        Human-readable details.
     """
 
     status: Status
     version: int = 0
-    known: proposal.Proposal | None = None
+    stored: proposal.Proposal | None = None
     reason: str = ""
 
 
 class Commit(NamedTuple):
-    """One commit to try, and the result once it is done."""
+    """One commit to try, and the result to return once it is done."""
 
     conditions: tuple[table.Condition, ...]
     writes: tuple[table.Write, ...]
@@ -86,7 +84,7 @@
 
 def decide_submission(
     current: proposal.Current,
-    known: proposal.Proposal | None,
+    stored: proposal.Proposal | None,
     submitted: proposal.Proposal,
 ) -> Result | Commit:
     """Decide about a submission.
@@ -95,93 +93,97 @@
     ----------
     current : Current
         The version in force.
-    known : Proposal or None
-        The row under the submission's id, if there is one: the submission was
-        made before and its answer was lost, or the id is being reused.
+    stored : Proposal or None
+        The proposal stored under the submission's id, if there is one: the
+        request is a retry after a lost answer, or the id is being reused.
     submitted : Proposal
-        The submission, with the needs that the rules in force ask for.
+        The submission, with the approvals that the rules in force require.
     """
-    if known is not None:
-        return recall_submission(current, known, submitted)
+    if stored is not None:
+        return resolve_repeat(current, stored, submitted)
     if current.version != submitted.base:
-        return conflict(current, None)
+        return build_conflict(current, None)
     if current.hash == submitted.hash:
         return Result(Status.UNCHANGED, current.version)
     if submitted.missing:
         writes = (proposal.write_proposal(submitted),)
         result = Result(Status.WAITING, current.version, submitted)
         return Commit((submitted.condition, current.condition), writes, result)
-    return accept(current, submitted, submitted.author, submitted.submitted)
+    return build_acceptance(current, submitted, submitted.author, submitted.submitted)
 
 
-def recall_submission(
+def resolve_repeat(
     current: proposal.Current,
-    known: proposal.Proposal,
+    stored: proposal.Proposal,
     submitted: proposal.Proposal,
 ) -> Result:
-    """Return what became of a submission that is already stored."""
-    same = (known.base, known.hash, known.author)
-    if same != (submitted.base, submitted.hash, submitted.author):
-        reason = f"it holds {known.hash[:12]} by {known.author} on {known.base}"
-        return Result(Status.REUSED, current.version, known, reason)
-    return describe(current, known)
-
-
-def describe(current: proposal.Current, known: proposal.Proposal) -> Result:
-    """Return the result that a stored proposal stands for."""
-    if known.state is proposal.State.ACCEPTED:
-        return Result(Status.ACCEPTED, known.version, known)
-    if known.state is proposal.State.REJECTED:
-        reason = f"by {known.decider}: {known.reason}"
-        return Result(Status.REJECTED, current.version, known, reason)
-    if known.base != current.version:
-        return conflict(current, known)
-    return Result(Status.WAITING, current.version, known)
-
-
-def conflict(current: proposal.Current, known: proposal.Proposal | None) -> Result:
+    """Return the result of a submission whose id is already stored."""
+    identity = (stored.base, stored.hash, stored.author)
+    if identity != (submitted.base, submitted.hash, submitted.author):
+        reason = f"it holds {stored.hash[:12]} by {stored.author} on {stored.base}"
+        return Result(Status.REUSED, current.version, stored, reason)
+    return build_result(current, stored)
+
+
+def build_result(current: proposal.Current, stored: proposal.Proposal) -> Result:
+    """Return the result that corresponds to the state of a stored proposal."""
+    if stored.state is proposal.State.ACCEPTED:
+        return Result(Status.ACCEPTED, stored.version, stored)
+    if stored.state is proposal.State.REJECTED:
+        reason = f"by {stored.decider}: {stored.reason}"
+        return Result(Status.REJECTED, current.version, stored, reason)
+    if stored.base != current.version:
+        return build_conflict(current, stored)
+    return Result(Status.WAITING, current.version, stored)
+
+
+def build_conflict(
+    current: proposal.Current, stored: proposal.Proposal | None
+) -> Result:
     """Return the result that names the version to rebase on."""
     reason = f"rebase on version {current.version} by {current.author or 'nobody'}"
-    return Result(Status.CONFLICT, current.version, known, reason)
+    return Result(Status.CONFLICT, current.version, stored, reason)
 
 
 def decide_approval(
     current: proposal.Current,
-    known: proposal.Proposal | None,
-    given: approval.Given,
+    stored: proposal.Proposal | None,
+    new_approval: approval.Given,
 ) -> Result | Commit:
-    """Decide about an approval that an operator gives.
+    """Decide about an operator's approval of a proposal.
 
     Parameters
     ----------
     current : Current
         The version in force.
-    known : Proposal or None
-        The proposal, None when there is none of that id.
-    given : approval.Given
-        Who approves, with which roles, and the content they saw.
+    stored : Proposal or None
+        The proposal; None when there is none with that id.
+    new_approval : approval.Given
+        The approving operator, their roles and the hash of the content.
     """
-    if known is None:
+    if stored is None:
         return Result(Status.MISSING, current.version)
-    standing = describe(current, known)
-    if standing.status is not Status.WAITING:
-        return standing
-    if given.hash != known.hash:
-        reason = f"it holds {known.hash}"
-        return Result(Status.OTHER_CONTENT, current.version, known, reason)
-    if given.operator == known.author:
-        return Result(Status.OWN, current.version, known)
-    if any(one.operator == given.operator for one in known.given):
-        return standing
-    asked = {role for need in known.needs for role in need.roles}
-    if not asked & set(given.roles):
-        reason = "asked for: " + ", ".join(sorted(asked))
-        return Result(Status.NO_ROLE, current.version, known, reason)
-    approved = known._replace(given=(*known.given, given))
+    result = build_result(current, stored)
+    if result.status is not Status.WAITING:
+        return result
+    if new_approval.hash != stored.hash:
+        reason = f"it holds {stored.hash}"
+        return Result(Status.OTHER_CONTENT, current.version, stored, reason)
+    if new_approval.operator == stored.author:
+        return Result(Status.OWN, current.version, stored)
+    if any(entry.operator == new_approval.operator for entry in stored.given):
+        return result
+    requested_roles = {role for need in stored.needs for role in need.roles}
+    if not requested_roles & set(new_approval.roles):
+        reason = "asked for: " + ", ".join(sorted(requested_roles))
+        return Result(Status.NO_ROLE, current.version, stored, reason)
+    approved = stored._replace(given=(*stored.given, new_approval))
     if not approved.missing:
-        return accept(current, approved, given.operator, given.time)
+        return build_acceptance(
+            current, approved, new_approval.operator, new_approval.time
+        )
     return Commit(
-        (known.condition, current.condition),
+        (stored.condition, current.condition),
         (proposal.write_proposal(approved),),
         Result(Status.WAITING, current.version, approved),
     )
@@ -189,24 +191,24 @@
 
 def decide_rejection(
     current: proposal.Current,
-    known: proposal.Proposal | None,
+    stored: proposal.Proposal | None,
     operator: str,
     reason: str,
     time: float,
 ) -> Result | Commit:
-    """Decide about a rejection; the author may withdraw in the same way."""
-    if known is None:
+    """Decide about a rejection, by which an author may also withdraw."""
+    if stored is None:
         return Result(Status.MISSING, current.version)
-    if known.state is not proposal.State.WAITING:
-        return describe(current, known)
-    rejected = known._replace(
+    if stored.state is not proposal.State.WAITING:
+        return build_result(current, stored)
+    rejected = stored._replace(
         state=proposal.State.REJECTED, decider=operator, reason=reason, decided=time
     )
     writes = (proposal.write_proposal(rejected),)
-    return Commit((known.condition,), writes, describe(current, rejected))
+    return Commit((stored.condition,), writes, build_result(current, rejected))
 
 
-def accept(
+def build_acceptance(
     current: proposal.Current, approved: proposal.Proposal, decider: str, time: float
 ) -> Commit:
     """Return the commit that puts a proposal in force as the next version."""
@@ -214,27 +216,29 @@
     accepted = approved._replace(
         state=proposal.State.ACCEPTED, version=version, decider=decider, decided=time
     )
-    head = {
+    current_value = {
         "version": version,
         "hash": accepted.hash,
         "submission": accepted.id,
         "author": accepted.author,
     }
-    given = [one._asdict() | {"roles": list(one.roles)} for one in accepted.given]
-    record = head | {
+    approvals = [
+        entry._asdict() | {"roles": list(entry.roles)} for entry in accepted.given
+    ]
+    version_value = current_value | {
         "base": accepted.base,
         "note": accepted.note,
-        "given": given,
+        "given": approvals,
         "accepted": time,
     }
     conditions = (
         accepted.condition,
         current.condition,
-        table.Condition(proposal.name_version(version), 0),
+        table.Condition(proposal.get_version_key(version), 0),
     )
     writes = (
-        table.Write(proposal.CURRENT, head),
-        table.Write(proposal.name_version(version), record),
+        table.Write(proposal.CURRENT, current_value),
+        table.Write(proposal.get_version_key(version), version_value),
         proposal.write_proposal(accepted),
         table.Write(proposal.SIGNAL, {}),
     )
