--- a/wigeonhitch/front/dispatcher.py
+++ b/wigeonhitch/front/dispatcher.py
@@ -59,7 +59,7 @@
 
     Parameters
     ----------
-    decisions : core.Core
+    routing : core.Core
         The routing core; only the dispatcher may pass it events.
     attempt_sender : sender.Sender
         Sends attempts.
@@ -77,14 +77,14 @@
 
     def __init__(
         self,
-        decisions: core.Core,
+        routing: core.Core,
         attempt_sender: sender.Sender,
         clock: Callable[[], float],
         send_messages: Callable[[action.SendMessages, tuple[str, ...]], None],
         find_address: Callable[[str], str | None],
         may_send: Callable[[], bool],
     ) -> None:
-        self._core = decisions
+        self._core = routing
         self._sender = attempt_sender
         self._clock = clock
         self._send_messages = send_messages
--- a/wigeonhitch/front/reply.py
+++ b/wigeonhitch/front/reply.py
@@ -17,8 +17,8 @@
     "REASON_HEADER",
     "Reply",
     "VERDICT_HEADER",
-    "make_refusal",
     "add_verdict_headers",
+    "make_refusal",
 ]
 
 VERDICT_HEADER = "wigeonhitch-verdict"
--- a/wigeonhitch/front/tests/conftest.py
+++ b/wigeonhitch/front/tests/conftest.py
@@ -32,7 +32,7 @@
         return sender.Result(verdict.ran(), reply.Reply(200, (), body))
 
 
-class Front:
+class FrontEnd:
     """The front end of one daemon on fakes, driven without sockets."""
 
     def __init__(self):
@@ -103,9 +103,9 @@
 
 @pytest.fixture
 async def front():
-    front_side = Front()
+    front_end = FrontEnd()
     async with anyio.create_task_group() as group:
-        await group.start(front_side.claims.run)
-        group.start_soon(front_side.dispatch.run_timer)
-        yield front_side
+        await group.start(front_end.claims.run)
+        group.start_soon(front_end.dispatch.run_timer)
+        yield front_end
         group.cancel_scope.cancel()
--- a/wigeonhitch/routing/outlier.py
+++ b/wigeonhitch/routing/outlier.py
@@ -23,7 +23,7 @@
 
 # Consecutive failures that eject a worker. If one request in a hundred fails by
 # chance, this happens once in 10^10 requests.
-MAX_CONSECUTIVE_FAILURES = 5
+CONSECUTIVE_FAILURES = 5
 
 # Share of failures, averaged over some 20 answers, that ejects a flapping worker.
 FAILURE_SHARE = 0.5
@@ -166,7 +166,7 @@
         return mean * (1.0 + used / slots) * (1.0 + worker.consecutive_failures)
 
     def _is_outlier(self, worker: _Worker) -> bool:
-        if worker.consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+        if worker.consecutive_failures >= CONSECUTIVE_FAILURES:
             return True
         if worker.samples < MIN_ANSWERS:
             return False
--- a/wigeonhitch/routing/selector.py
+++ b/wigeonhitch/routing/selector.py
@@ -79,12 +79,12 @@
         if outcome is peer.Outcome.OK:
             self._avoided.pop(vm, None)
             return
-        _, refusals = self._avoided.get(vm, (0.0, 0))
+        _, failures = self._avoided.get(vm, (0.0, 0))
         base = self._detector.mean_seconds / self._slots.get(vm, 1)
         seconds = max(MIN_AVOID_SECONDS, base) * 2.0 ** min(
-            refusals, MAX_AVOID_DOUBLINGS
+            failures, MAX_AVOID_DOUBLINGS
         )
-        self._avoided[vm] = (now + seconds * (0.5 + self._rng.random()), refusals + 1)
+        self._avoided[vm] = (now + seconds * (0.5 + self._rng.random()), failures + 1)
 
     def choose(self, now: float) -> str | None:
         """Return the better of two workers that may have a free slot, or None."""
