--- a/wigeonhitch/front/application.py
+++ b/wigeonhitch/front/application.py
@@ -84,7 +84,7 @@
     Parameters
     ----------
     dispatch : dispatcher.Dispatcher
-    claims : guard.IdempotencyGuard
+    idempotency : guard.IdempotencyGuard
         Runs keyed requests at most once.
     find_catalogue : callable
         Returns the `Catalogue` in force, or None when the daemon isn't ready.
@@ -102,7 +102,7 @@
     def __init__(
         self,
         dispatch: dispatcher.Dispatcher,
-        claims: guard.IdempotencyGuard,
+        idempotency: guard.IdempotencyGuard,
         find_catalogue: Callable[[], Catalogue | None],
         is_ready: Callable[[], bool],
         is_alive: Callable[[], bool],
@@ -112,7 +112,7 @@
         limits: Limits = Limits(),  # noqa: B008 - an immutable tuple
     ) -> None:
         self._dispatch = dispatch
-        self._claims = claims
+        self._idempotency = idempotency
         self._find_catalogue = find_catalogue
         self._is_ready = is_ready
         self._is_alive = is_alive
@@ -205,7 +205,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(self._watch_disconnect, receive, pending)
             if is_keyed:
-                final = await self._claims.serve(key, arrived, request, pending)
+                final = await self._idempotency.serve(key, arrived, request, pending)
             else:
                 final = await self._dispatch.serve(arrived, request, pending)
             group.cancel_scope.cancel()
--- a/wigeonhitch/front/dispatcher.py
+++ b/wigeonhitch/front/dispatcher.py
@@ -20,7 +20,7 @@
 
 
 class FinalAnswer(NamedTuple):
-    """The final answer of one request; ``answer`` is None if no worker answered."""
+    """The final answer of one request; ``answer`` is None without a worker's."""
 
     verdict: verdict.Verdict
     answer: reply.Reply | None
@@ -125,8 +125,8 @@
         pending : PendingRequest
             New for each request; pass it to `cancel` if the caller disconnects.
         on_send : callable, optional
-            Called right before each attempt; if it returns a verdict, the attempt
-            ends with it unsent.
+            Called right before each attempt; if it returns a verdict, the attempt ends
+            unsent with this verdict.
         """
         self._number += 1
         number = pending.number = self._number
--- a/wigeonhitch/routing/pending.py
+++ b/wigeonhitch/routing/pending.py
@@ -204,7 +204,7 @@
             entry, client.detector.mean_seconds, now
         )
         return queue.Entry(
-            arrival.request, entry.rank, arrival.team, entry.arrived, latest_start
+            arrival.request, entry.rank, arrival.team, entry.arrived_at, latest_start
         )
 
     def _abandon(
@@ -232,7 +232,7 @@
         client: pool_client.PoolClient,
         now: float,
     ) -> None:
-        """Answer the caller, or retry a request that cannot run twice because of it.
+        """Answer the caller, or retry the request if that is safe.
 
         Retries cover workers that die, freeze or refuse one at a time. Only a request
         that certainly did not run, or may safely run twice, is retried, and never more
--- a/wigeonhitch/routing/request.py
+++ b/wigeonhitch/routing/request.py
@@ -25,7 +25,7 @@
     """One request that has no final answer yet."""
 
     __slots__ = (
-        "arrived",
+        "arrived_at",
         "attempt",
         "deadline",
         "event",
@@ -39,7 +39,7 @@
         self, arrival: event.Arrived, rank: int, start_within: float, now: float
     ) -> None:
         self.event = arrival
-        self.arrived = now
+        self.arrived_at = now
         self.deadline = arrival.deadline
         self.rank = rank
         self.start_within = start_within
@@ -88,7 +88,7 @@
 def compute_latest_start(request: Request, mean_seconds: float, now: float) -> float:
     """Return when the request must have started to meet its deadline, in seconds."""
     latest_start = min(
-        request.deadline - mean_seconds, request.arrived + request.start_within
+        request.deadline - mean_seconds, request.arrived_at + request.start_within
     )
     return min(request.deadline, max(latest_start, now + MIN_QUEUE_SECONDS))
 
