--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -140,16 +140,16 @@
     made.platform_url = f"http://127.0.0.1:{counted.port}"
     for number in range(daemons):
         made.start_daemon(number)
-    made.wait_until_serving(limit=90.0)
+    made.wait_until_serving(timeout=90.0)
     made.submit(intended, 0, "first")
     for name in made.daemons:
-        made.wait_until_ready(name, limit=90.0)
+        made.wait_until_ready(name, timeout=90.0)
     return made, counted
 
 
 def read(made: site.Site, counted: relay.Relay) -> dict[str, Any]:
     """Return all counters as they stand."""
-    ids = {name: made.children[name].running.pid for name in made.daemons}
+    ids = {name: made.children[name].popen.pid for name in made.daemons}
     cpu = {name: read_processor(number) for name, number in ids.items()}
     now = time.monotonic()
     store = httpx.get(f"{made.platform_url}/counters", trust_env=False).json()
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -103,18 +103,18 @@
         folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         ports = process.Ports()
         at = site.open_site(stack, folder, ports, EXAMPLE, site.Options(daemons=1))
-        at.put_in_force()
+        at.activate_document()
         (name,) = at.daemons
         workers = list(at.workers.values())[:6]
         hops = {}
         for label, extra in (("one client", []), ("client per worker", ["--clients"])):
-            (port,) = ports.take()
+            (port,) = ports.allocate()
             arguments = ["benchmarks.passthrough", "--port", str(port)]
             child = process.start(stack, folder, label, [*arguments, *extra, *workers])
-            child.wait_for("ready")
-            hops[f"bare, {label}"] = (child.running.pid, f"http://127.0.0.1:{port}")
+            child.wait_for_output("ready")
+            hops[f"bare, {label}"] = (child.popen.pid, f"http://127.0.0.1:{port}")
         url = f"http://127.0.0.1:{at.daemons[name].callers}/order-lookup"
-        hops["daemon"] = (at.children[name].running.pid, url)
+        hops["daemon"] = (at.children[name].popen.pid, url)
         print_rows(hops, options.callers, options.count)
 
 
--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -206,7 +206,7 @@
         row.value["holder"] for row in _read_duties(at) if row.value is not None
     )
     used = {
-        name: (hop.read_processor(at.children[name].running.pid), held[name])
+        name: (hop.read_processor(at.children[name].popen.pid), held[name])
         for name in at.daemons
     }
     answer = httpx.get(f"{at.platform_url}/counters", trust_env=False)
--- a/standins/demo/history.py
+++ b/standins/demo/checks.py
@@ -12,13 +12,13 @@
 __all__ = [
     "Drain",
     "Sample",
-    "find_cut_requests",
-    "find_dishonest_refusals",
+    "find_interrupted_requests",
+    "find_false_refusals",
     "find_drains",
-    "find_late_work",
-    "find_reverts",
-    "find_second_runs",
-    "find_silent_ends",
+    "find_late_starts",
+    "find_version_regressions",
+    "find_duplicate_runs",
+    "find_missing_verdicts",
     "find_wrong_answers",
 ]
 
@@ -58,7 +58,7 @@
     return found
 
 
-def find_silent_ends(
+def find_missing_verdicts(
     outcomes: Iterable[traffic.Outcome], excused: Collection[str] = ()
 ) -> list[str]:
     """Find answers without a verdict, and connections broken by a daemon.
@@ -82,7 +82,7 @@
     return found
 
 
-def find_dishonest_refusals(
+def find_false_refusals(
     outcomes: Iterable[traffic.Outcome], runs: Iterable[Run]
 ) -> list[str]:
     """Find attempts that heard "not run" and ran."""
@@ -94,7 +94,7 @@
     ]
 
 
-def find_second_runs(
+def find_duplicate_runs(
     outcomes: Iterable[traffic.Outcome], runs: Iterable[Run]
 ) -> list[str]:
     """Find requests that are not idempotent and ran more than once."""
@@ -110,7 +110,7 @@
     ]
 
 
-def find_cut_requests(runs: Iterable[Run]) -> list[str]:
+def find_interrupted_requests(runs: Iterable[Run]) -> list[str]:
     """Find requests that a reboot cut off."""
     return [
         f"{run['key']} cut off on {run['worker']}"
@@ -137,7 +137,7 @@
     return found
 
 
-def find_late_work(
+def find_late_starts(
     drains: Sequence[Drain], runs: Iterable[Run], limit: float
 ) -> tuple[float, list[str]]:
     """Return the latest start of work after a drain began, and those too late.
@@ -163,7 +163,7 @@
     return latest, found
 
 
-def find_reverts(samples: Iterable[Sample]) -> list[str]:
+def find_version_regressions(samples: Iterable[Sample]) -> list[str]:
     """Find daemons that went back, and ready ones older than one seen ready."""
     highest: dict[str, int] = {}
     found = []
--- a/standins/demo/inventory.py
+++ b/standins/demo/inventory.py
@@ -35,7 +35,7 @@
     centres = intended.data_centres
     machines = []
     for index, (kind, port) in enumerate(
-        zip(kinds, ports.take(len(kinds)), strict=True)
+        zip(kinds, ports.allocate(len(kinds)), strict=True)
     ):
         rack = index // VMS_PER_RACK
         machines.append(
--- a/standins/demo/main.py
+++ b/standins/demo/main.py
@@ -69,14 +69,14 @@
         example = EXAMPLES / f"{user}.yaml"
         sites[user] = site.open_site(stack, folder / user, ports, example)
     for user, at in sites.items():
-        put_in_force(user, at)
+        activate_document(user, at)
     finished = anyio.run(run_traffic, sites, options)
     return [make_result(user, sites[user], *finished[user]) for user in USERS]
 
 
-def put_in_force(user: str, at: site.Site) -> None:
+def activate_document(user: str, at: site.Site) -> None:
     """Submit and approve the document; wait until every daemon serves."""
-    took = at.put_in_force()
+    took = at.activate_document()
     print(
         f"{user}: document accepted; all daemons ready {took:.1f} s later", flush=True
     )
@@ -128,12 +128,12 @@
 def run_wave(user: str, at: site.Site) -> tuple[dict[str, Any], str]:
     """Start the document's first wave and follow it; return plan and status."""
     name = at.intended.waves[0].name
-    plan = at.ask("GET", f"/waves/{name}/plan").json()
-    at.ask("POST", f"/waves/{name}/start").raise_for_status()
+    plan = at.request("GET", f"/waves/{name}/plan").json()
+    at.request("POST", f"/waves/{name}/start").raise_for_status()
     deadline = time.monotonic() + WAVE_LIMIT
     shown = -1
     while time.monotonic() < deadline:
-        wave = at.ask_any("GET", f"/waves/{name}")
+        wave = at.request_any("GET", f"/waves/{name}")
         done, count = wave.get("done", 0), len(wave.get("vms", ()))
         if done != shown:
             print(f"{user}: wave {name}: {done} of {count} workers", flush=True)
--- a/standins/demo/process.py
+++ b/standins/demo/process.py
@@ -15,10 +15,10 @@
 import time
 from collections.abc import Sequence
 
-__all__ = ["Child", "Ports", "end_on_signal", "start"]
+__all__ = ["Child", "Ports", "exit_on_sigterm", "start"]
 
-START_LIMIT = 20.0  # seconds for a stand-in to say that it is ready
-STOP_LIMIT = 15.0  # seconds from SIGTERM to SIGKILL
+START_TIMEOUT_SECONDS = 20.0  # seconds for a stand-in to say that it is ready
+STOP_TIMEOUT_SECONDS = 15.0  # seconds from SIGTERM to SIGKILL
 FIRST_PORT, LAST_PORT = 10_000, 32_000
 
 
@@ -37,7 +37,7 @@
         self._next = random.SystemRandom().randrange(FIRST_PORT, LAST_PORT)
         self._kept: list[socket.socket] = []
 
-    def take(self, count: int = 1) -> list[int]:
+    def allocate(self, count: int = 1) -> list[int]:
         """Return ``count`` free ports, never the same twice."""
         found: list[int] = []
         while len(found) < count:
@@ -67,7 +67,7 @@
         return True
 
 
-def end_on_signal() -> None:
+def exit_on_sigterm() -> None:
     """Let SIGTERM end this program as Ctrl-C does: its exit stacks are run.
 
     A program that has its own way of ending by SIGTERM keeps it: in a run of
@@ -86,24 +86,26 @@
 class Child:
     """A process that was started, with its output in a file."""
 
-    def __init__(self, name: str, running: subprocess.Popen, log: pathlib.Path) -> None:
+    def __init__(self, name: str, popen: subprocess.Popen, log: pathlib.Path) -> None:
         self.name = name
-        self.running = running
+        self.popen = popen
         self.log = log
 
-    def wait_for(self, text: str, limit: float = START_LIMIT) -> None:
+    def wait_for_output(
+        self, text: str, timeout: float = START_TIMEOUT_SECONDS
+    ) -> None:
         """Wait until the output holds ``text``.
 
         Raises
         ------
         RuntimeError
-            If the process ends or the limit (s) passes first.
+            If the process ends or the timeout (s) passes first.
         """
-        deadline = time.monotonic() + limit
+        deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             if text in self.read():
                 return
-            if self.running.poll() is not None:
+            if self.popen.poll() is not None:
                 break
             time.sleep(0.02)
         raise RuntimeError(f"{self.name}: no {text!r} in its output:\n{self.read()}")
@@ -114,18 +116,18 @@
 
     def signal(self, number: int) -> None:
         """Send a signal."""
-        self.running.send_signal(number)
+        self.popen.send_signal(number)
 
-    def stop(self, limit: float = STOP_LIMIT) -> int:
+    def stop(self, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
         """End the process and return its exit status."""
-        if self.running.poll() is None:
-            self.running.send_signal(signal.SIGCONT)
-            self.running.terminate()
+        if self.popen.poll() is None:
+            self.popen.send_signal(signal.SIGCONT)
+            self.popen.terminate()
         try:
-            return self.running.wait(limit)
+            return self.popen.wait(timeout)
         except subprocess.TimeoutExpired:
-            self.running.kill()
-            return self.running.wait()
+            self.popen.kill()
+            return self.popen.wait()
 
 
 def start(
@@ -149,13 +151,13 @@
     """
     log = folder / f"{name}.log"
     output = stack.enter_context(log.open("wb"))
-    running = subprocess.Popen(
+    popen = subprocess.Popen(
         [sys.executable, "-m", *arguments],
         stdin=subprocess.DEVNULL,
         stdout=output,
         stderr=subprocess.STDOUT,
         start_new_session=True,
     )
-    child = Child(name, running, log)
+    child = Child(name, popen, log)
     stack.callback(child.stop)
     return child
--- a/standins/demo/site.py
+++ b/standins/demo/site.py
@@ -9,13 +9,13 @@
 import httpx
 import yaml
 
-from standins.demo import contact, inventory, process
+from standins.demo import inventory, process, siteclient
 from wigeonhitch.configuration import check, document
 from wigeonhitch.operators import credential
 
 __all__ = ["Options", "Site", "open_site"]
 
-READY_LIMIT = 30.0  # seconds for a daemon to be ready
+READY_TIMEOUT_SECONDS = 30.0  # seconds for a daemon to be ready
 
 
 class Options(NamedTuple):
@@ -32,7 +32,7 @@
         VMs beyond the pools' sizes.
     settings : mapping
         Sections of the daemons' settings that differ from the usual.
-    relayed : bool
+    uses_relay : bool
         Whether peers talk through `standins.relay`, see `Site.switch_link`.
     without : str
         A mechanism of `standins.demo.without` that the daemons lack.
@@ -46,12 +46,12 @@
     vm_lag: float = 0.5
     spare: int = 0
     settings: Mapping[str, Mapping[str, Any]] = {}
-    relayed: bool = False
+    uses_relay: bool = False
     without: str = ""
     tls: bool = False
 
 
-class Site(contact.Contact):
+class Site(siteclient.SiteClient):
     """A running site; `open_site` makes it.
 
     Attributes
@@ -76,7 +76,7 @@
         self.options = options
         self.example = pathlib.Path()
         self.operators = tuple(
-            credential.make_operator(name, roles, contact.SECRET)
+            credential.make_operator(name, roles, siteclient.SECRET)
             for name, roles in (
                 ("ana", ("operations",)),
                 ("ben", ("operations", "owner", "quality")),
@@ -92,12 +92,12 @@
         )
         self.workers = {one["vm"]: one["address"] for one in machines}
         pairs = [f"{vm}={at.rpartition(':')[2]}" for vm, at in self.workers.items()]
-        self._start("workers", ["standins.worker", *pairs]).wait_for("ready")
+        self._start("workers", ["standins.worker", *pairs]).wait_for_output("ready")
         entries = [
             {
                 "vm": f"entry-{number}",
                 "kind": "entry",
-                "address": f"127.0.0.1:{self.ports.take()[0]}",
+                "address": f"127.0.0.1:{self.ports.allocate()[0]}",
                 "rack": f"entry-rack-{number}",
                 "data_centre": self._centre(number),
                 "role": "entry",
@@ -114,23 +114,23 @@
             ),
             encoding="utf-8",
         )
-        port = self.ports.take()[0]
+        port = self.ports.allocate()[0]
         self.platform_url = f"http://127.0.0.1:{port}"
         arguments = ["standins.platform", "--port", str(port)]
         arguments += ["--inventory", str(listed)]
         arguments += ["--vm-lag", str(self.options.vm_lag)]
-        self._start("platform", arguments).wait_for("ready")
+        self._start("platform", arguments).wait_for_output("ready")
 
-    def start_daemon(self, number: int, suffix: str = "a") -> contact.DaemonPorts:
+    def start_daemon(self, number: int, suffix: str = "a") -> siteclient.DaemonPorts:
         """Start one daemon; a replaced one gets another suffix."""
         name = f"entry-{number}-{suffix}"
-        callers, operators, peers = self.ports.take(3)
-        given = contact.DaemonPorts(name, callers, operators, peers)
-        if self.options.relayed:
-            given = given._replace(relay=self.ports.take()[0])
+        callers, operators, peers = self.ports.allocate(3)
+        given = siteclient.DaemonPorts(name, callers, operators, peers)
+        if self.options.uses_relay:
+            given = given._replace(relay=self.ports.allocate()[0])
             self.tell_relay(add=[name, given.relay, peers])
         seeds = [
-            {"name": one.name, "address": one.advertised}
+            {"name": one.name, "address": one.advertised_address}
             for one in self.daemons.values()
         ]
         settings = self.folder / f"{name}.yaml"
@@ -144,44 +144,48 @@
         self.daemons[name] = given
         return given
 
-    def wait_until_serving(self, limit: float = READY_LIMIT) -> None:
+    def wait_until_serving(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
         """Wait until every daemon listens to operators and is registered."""
-        deadline = time.monotonic() + limit
+        deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             with contextlib.suppress(httpx.HTTPError):
-                answers = [self.ask("GET", "/status", at=name) for name in self.daemons]
+                answers = [
+                    self.request("GET", "/status", daemon=name) for name in self.daemons
+                ]
                 if all(one.json().get("registered") for one in answers):
                     return
             time.sleep(0.05)
         raise RuntimeError(f"daemons of {self.folder.name} don't serve operators")
 
-    def wait_until_ready(self, name: str, limit: float = READY_LIMIT) -> float:
+    def wait_until_ready(
+        self, name: str, timeout: float = READY_TIMEOUT_SECONDS
+    ) -> float:
         """Wait for a daemon's readiness path; return the seconds it took."""
         began = time.monotonic()
         url = f"{self.scheme}://127.0.0.1:{self.daemons[name].callers}/-/ready"
-        while time.monotonic() - began < limit:
+        while time.monotonic() - began < timeout:
             with contextlib.suppress(httpx.HTTPError):
                 answer = httpx.get(
                     url, timeout=1.0, trust_env=False, verify=self.verify
                 )
                 if answer.status_code == 200:
                     return time.monotonic() - began
-            if self.children[name].running.poll() is not None:
+            if self.children[name].popen.poll() is not None:
                 break
             time.sleep(0.05)
         raise RuntimeError(f"{name} isn't ready:\n{self.children[name].read()}")
 
-    def wait_for_operators(self, limit: float = READY_LIMIT) -> None:
+    def wait_for_operators(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
         """Wait until every daemon answers operators."""
         for one in self.daemons.values():
-            self.children[one.name].wait_for("serving", limit)
+            self.children[one.name].wait_for_output("serving", timeout)
 
-    def wait_until_assigned(self, limit: float = READY_LIMIT) -> None:
+    def wait_until_assigned(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
         """Wait until every pool has its VMs, a few seconds after a document."""
         sizes = {pool.name: pool.size for pool in self.intended.pools}
-        deadline = time.monotonic() + limit
+        deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
-            answer = self.ask("GET", "/pools")
+            answer = self.request("GET", "/pools")
             if answer.status_code == 200:
                 pools = answer.json()["pools"]
                 if all(one["members"] >= sizes[one["pool"]] for one in pools):
@@ -189,7 +193,7 @@
             time.sleep(0.1)
         raise RuntimeError(f"pools of {self.folder.name} don't have their VMs")
 
-    def put_in_force(self) -> float:
+    def activate_document(self) -> float:
         """Put the site's document in force; return the seconds until all are ready."""
         self.wait_until_serving()
         intended = yaml.safe_load(self.example.read_text(encoding="utf-8"))
@@ -197,13 +201,13 @@
         self.wait_until_assigned()
         return max(self.wait_until_ready(name) for name in self.daemons)
 
-    def wait_until_heard(self, limit: float = READY_LIMIT) -> None:
+    def wait_until_vms_known(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
         """Wait until each daemon has read which VMs serve each pool.
 
         A daemon is ready before: it reads the VMs some seconds after they were
         assigned, and says until then, truly, that no worker is available.
         """
-        deadline = time.monotonic() + limit
+        deadline = time.monotonic() + timeout
         for daemon in self.daemons.values():
             for service in self.intended.services:
                 path = f"127.0.0.1:{daemon.callers}/{service.name}/x"
@@ -218,9 +222,9 @@
 
     def start_relay(self) -> None:
         """Start the relay between daemons."""
-        self.control = self.ports.take()[0]
+        self.control = self.ports.allocate()[0]
         arguments = ["standins.relay", "--control", str(self.control)]
-        self._start("relay", arguments).wait_for("ready")
+        self._start("relay", arguments).wait_for_output("ready")
 
     def _start(self, name: str, arguments: list[str]) -> process.Child:
         child = process.start(self.stack, self.folder, name, arguments)
@@ -232,7 +236,7 @@
         return centres[number % len(centres)].name
 
     def _make_settings(
-        self, given: contact.DaemonPorts, number: int, seeds: list[dict[str, str]]
+        self, given: siteclient.DaemonPorts, number: int, seeds: list[dict[str, str]]
     ) -> dict[str, Any]:
         credentials = [one._asdict() for one in self.operators]
         for one in credentials:
@@ -250,7 +254,7 @@
             },
             "peers": {
                 "bind": f"127.0.0.1:{given.peers}",
-                "advertise": given.advertised,
+                "advertise": given.advertised_address,
                 "seeds": seeds,
             },
             "platform": {"url": self.platform_url},
@@ -277,12 +281,12 @@
     checked = check.check_text(example.read_text(encoding="utf-8"))
     if checked.intended is None:
         raise ValueError(f"{example}: {checked.problems}; expected a valid document")
-    process.end_on_signal()
+    process.exit_on_sigterm()
     folder.mkdir(parents=True, exist_ok=True)
     site = Site(stack, folder, ports, checked.intended, options)
     site.example = example
     site.start_platform()
-    if options.relayed:
+    if options.uses_relay:
         site.start_relay()
     for number in range(options.daemons):
         site.start_daemon(number)
--- a/standins/demo/contact.py
+++ b/standins/demo/siteclient.py
@@ -9,7 +9,7 @@
 
 import httpx
 
-__all__ = ["SECRET", "Contact", "DaemonPorts"]
+__all__ = ["SECRET", "SiteClient", "DaemonPorts"]
 
 # Of every operator: the processes listen on loopback only.
 SECRET = "loopback-only"
@@ -25,12 +25,12 @@
     relay: int = 0
 
     @property
-    def advertised(self) -> str:
+    def advertised_address(self) -> str:
         """The address at which peers reach it."""
         return f"127.0.0.1:{self.relay or self.peers}"
 
 
-class Contact:
+class SiteClient:
     """Speaks to platform, workers, daemons and the relay between daemons.
 
     Parameters
@@ -67,32 +67,32 @@
             return False
         return ssl.create_default_context(cafile=self.certificates["authority"])
 
-    def ask(
+    def request(
         self,
         method: str,
         path: str,
         body: Any = None,
         operator: str = "ana",
-        at: str = "",
-        limit: float = 10.0,
+        daemon: str = "",
+        timeout: float = 10.0,
     ) -> httpx.Response:
         """Send an operator's request to a daemon, the first one by default."""
-        daemon = self.daemons[at or next(iter(self.daemons))]
+        ports = self.daemons[daemon or next(iter(self.daemons))]
         return httpx.request(
             method,
-            f"{self.scheme}://127.0.0.1:{daemon.operators}/operator/v1{path}",
+            f"{self.scheme}://127.0.0.1:{ports.operators}/operator/v1{path}",
             json=body,
             headers={"Authorization": f"Bearer {operator}:{SECRET}"},
-            timeout=limit,
+            timeout=timeout,
             trust_env=False,
             verify=self.verify,
         )
 
-    def ask_any(self, method: str, path: str) -> dict[str, Any]:
+    def request_any(self, method: str, path: str) -> dict[str, Any]:
         """Ask each daemon in turn; return the first good answer, or nothing."""
         for name in list(self.daemons):
             with contextlib.suppress(httpx.HTTPError):
-                answer = self.ask(method, path, at=name)
+                answer = self.request(method, path, daemon=name)
                 if answer.status_code == 200:
                     return answer.json()
         return {}
@@ -106,17 +106,19 @@
             If it isn't accepted.
         """
         body = {"submission": name, "base": base, "document": intended}
-        answer = self.ask("POST", "/proposals", body)
+        answer = self.request("POST", "/proposals", body)
         if answer.status_code == 202:
             content = answer.json()["proposal"]["hash"]
             path = f"/proposals/{name}/approve"
-            answer = self.ask("POST", path, {"hash": content}, operator="ben")
+            answer = self.request("POST", path, {"hash": content}, operator="ben")
         if answer.status_code != 200:
             raise RuntimeError(f"document {name}: {answer.text}; expected 200")
 
     def list_members(self, pool: str) -> list[str]:
         """Return the VMs that are in a pool now."""
-        return [one["vm"] for one in self.ask("GET", f"/pools/{pool}").json()["vms"]]
+        return [
+            one["vm"] for one in self.request("GET", f"/pools/{pool}").json()["vms"]
+        ]
 
     def change_fleet(self, **fields: Any) -> None:
         """Change the platform's VMs, as `platformfleet.Fleet.change` does."""
--- a/standins/demo/traffic.py
+++ b/standins/demo/traffic.py
@@ -17,15 +17,23 @@
 import anyio.from_thread
 import httpx
 
-__all__ = ["ANSWERED", "BROKEN", "LEFT", "UNCONNECTED", "Attempt", "Mix", "Outcome"]
+__all__ = [
+    "ANSWERED",
+    "BROKEN",
+    "ABANDONED",
+    "UNCONNECTED",
+    "Attempt",
+    "Mix",
+    "Outcome",
+]
 __all__ += ["Traffic", "open_traffic"]
 
 ANSWERED = "answered"
 BROKEN = "broken"  # the connection ended before a whole answer
-LEFT = "left"  # the caller left before the answer
+ABANDONED = "left"  # the caller left before the answer
 UNCONNECTED = "unconnected"  # no byte was sent
 
-ANSWER_LIMIT = 30.0  # seconds after which a caller gives up
+ANSWER_TIMEOUT_SECONDS = 30.0  # seconds after which a caller gives up
 
 
 class Attempt(NamedTuple):
@@ -43,7 +51,7 @@
         Seconds of work asked of the worker.
     key : str
         Idempotency key; empty without.
-    leave : float
+    abandon_after : float
         Seconds after which the caller leaves; 0 for never.
     deadline : float
         Seconds; 0 for that of the service.
@@ -56,7 +64,7 @@
     service: str
     work: float = 0.0
     key: str = ""
-    leave: float = 0.0
+    abandon_after: float = 0.0
     deadline: float = 0.0
 
     @property
@@ -91,28 +99,28 @@
     services : sequence of str
     works : sequence of float
         Seconds of work, drawn evenly.
-    keyed : float
+    keyed_share : float
         Share of requests that are POST with a key; half of the others are GET.
-    twice : float
+    duplicate_share : float
         Share of the keyed ones that are sent to two daemons at once.
-    leave : float
+    abandoned_share : float
         Share of all whose caller leaves early.
-    pause : float
+    max_pause : float
         Longest pause between requests, seconds.
-    count : int
+    max_requests : int
         Most requests of one caller.
-    patience : float
+    abandon_after : float
         Seconds after which a caller leaves in any case.
     """
 
     services: Sequence[str]
     works: Sequence[float] = (0.0, 0.01, 0.05)
-    keyed: float = 0.4
-    twice: float = 0.3
-    leave: float = 0.05
-    pause: float = 0.02
-    count: int = 400
-    patience: float = 3.0
+    keyed_share: float = 0.4
+    duplicate_share: float = 0.3
+    abandoned_share: float = 0.05
+    max_pause: float = 0.02
+    max_requests: int = 400
+    abandon_after: float = 3.0
 
 
 class Traffic:
@@ -166,25 +174,27 @@
     def wait_for(self, count: int, matching: Callable[[Outcome], bool]) -> None:
         """Wait until ``count`` more outcomes match; bounded by `ANSWER_LIMIT`."""
         before = len(self.outcomes)
-        deadline = time.monotonic() + ANSWER_LIMIT
+        deadline = time.monotonic() + ANSWER_TIMEOUT_SECONDS
         while sum(bool(matching(one)) for one in self.outcomes[before:]) < count:
             if time.monotonic() > deadline:
-                raise RuntimeError(f"no {count} such outcomes in {ANSWER_LIMIT} s")
+                raise RuntimeError(
+                    f"no {count} such outcomes in {ANSWER_TIMEOUT_SECONDS} s"
+                )
             time.sleep(0.02)
 
     async def _run_caller(self, number: int, mix: Mix) -> None:
         rng = random.Random(f"{self._seed}/{number}")
         async with _open_client() as client:
-            for index in range(mix.count):
+            for index in range(mix.max_requests):
                 if self._stopped:
                     return
                 await self._run_request(client, rng, mix, f"{number}-{index}")
-                await anyio.sleep(rng.uniform(0, mix.pause))
+                await anyio.sleep(rng.uniform(0, mix.max_pause))
 
     async def _run_request(
         self, client: httpx.AsyncClient, rng: random.Random, mix: Mix, name: str
     ) -> None:
-        is_keyed = rng.random() < mix.keyed
+        is_keyed = rng.random() < mix.keyed_share
         first = Attempt(
             f"{self._seed}-{name}",
             0,
@@ -193,14 +203,16 @@
             rng.choice(mix.services),
             rng.choice(mix.works),
             key=f"key-{self._seed}-{name}" if is_keyed else "",
-            leave=rng.uniform(0.001, 0.05)
-            if rng.random() < mix.leave
-            else mix.patience,
+            abandon_after=rng.uniform(0.001, 0.05)
+            if rng.random() < mix.abandoned_share
+            else mix.abandon_after,
         )
         attempts = [first]
-        if is_keyed and rng.random() < mix.twice:
+        if is_keyed and rng.random() < mix.duplicate_share:
             other = rng.choice(sorted(self._find_ports()))
-            attempts.append(first._replace(attempt=1, daemon=other, leave=mix.patience))
+            attempts.append(
+                first._replace(attempt=1, daemon=other, abandon_after=mix.abandon_after)
+            )
         made: list[Outcome] = []
         async with anyio.create_task_group() as group:
             for one in attempts:
@@ -208,7 +220,7 @@
         if is_keyed and not any(one.verdict == "ran" for one in made):
             other = rng.choice(sorted(self._find_ports()))
             repeat = first._replace(
-                attempt=len(attempts), daemon=other, leave=mix.patience
+                attempt=len(attempts), daemon=other, abandon_after=mix.abandon_after
             )
             await self._keep(client, repeat, made)
 
@@ -252,9 +264,9 @@
         headers["Wigeonhitch-Deadline"] = str(one.deadline)
     url = f"http://127.0.0.1:{port}/{one.service}/run?work={one.work}"
     began, start = time.time(), time.monotonic()
-    ended, found = LEFT, {}
+    ended, found = ABANDONED, {}
     try:
-        with anyio.move_on_after(one.leave or ANSWER_LIMIT):
+        with anyio.move_on_after(one.abandon_after or ANSWER_TIMEOUT_SECONDS):
             response = await client.request(
                 one.method, url, headers=headers, content=one.body
             )
@@ -280,4 +292,6 @@
 
 
 def _open_client() -> httpx.AsyncClient:
-    return httpx.AsyncClient(trust_env=False, verify=False, timeout=ANSWER_LIMIT)
+    return httpx.AsyncClient(
+        trust_env=False, verify=False, timeout=ANSWER_TIMEOUT_SECONDS
+    )
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -24,22 +24,22 @@
     ----------
     is_down : bool
         Calls are refused, nothing is done.
-    loses : int
+    lost_answers : int
         So many of the next transactions are done without an answer.
-    late : list of rows.Transaction
-        Transactions that were held back; `apply_late` carries them out.
-    holds_back : int
+    deferred : list of rows.Transaction
+        Transactions that were held back; `apply_deferred` carries them out.
+    deferred_commits : int
         So many of the next transactions are held back, without an answer.
-    is_across : bool
+    allows_cross_part : bool
         Whether transactions may go over several parts; others are refused.
     """
 
     def __init__(self) -> None:
         self.is_down = False
-        self.loses = 0
-        self.holds_back = 0
-        self.is_across = True
-        self.late: list[rows.Transaction] = []
+        self.lost_answers = 0
+        self.deferred_commits = 0
+        self.allows_cross_part = True
+        self.deferred: list[rows.Transaction] = []
         self.calls = 0
         self.version = 0
         self.oldest = 0
@@ -56,14 +56,14 @@
         row = self._rows.get((name, part, key))
         return row.value if row else None
 
-    def forget_history(self) -> None:
+    def expire_history(self) -> None:
         """Drop all changes: feeds from before have expired."""
         self.oldest = self.version
         self._changes.clear()
 
-    def apply_late(self) -> list[rows.Change]:
+    def apply_deferred(self) -> list[rows.Change]:
         """Carry out what was held back."""
-        held, self.late = self.late, []
+        held, self.deferred = self.deferred, []
         return [self._apply(one) for one in held]
 
     async def commit(self, change: rows.Transaction, *, timeout: float) -> rows.Change:
@@ -73,15 +73,15 @@
         if self.is_down:
             return rows.Change(NOT_DONE, reason="down")
         parts = {one.part for one in (*change.conditions, *change.writes)}
-        if len(parts) > 1 and not self.is_across:
+        if len(parts) > 1 and not self.allows_cross_part:
             return rows.Change(NOT_DONE, reason="status 400")
-        if self.holds_back:
-            self.holds_back -= 1
-            self.late.append(change)
+        if self.deferred_commits:
+            self.deferred_commits -= 1
+            self.deferred.append(change)
             return rows.Change(UNKNOWN, reason="timeout")
         done = self._apply(change)
-        if self.loses:
-            self.loses -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             return rows.Change(UNKNOWN, reason="timeout")
         return done
 
--- a/standins/siteworker.py
+++ b/standins/siteworker.py
@@ -14,29 +14,29 @@
 
 __all__ = ["Event", "Worker"]
 
-LONGEST_LEASE = 10.0
+MAX_LEASE_SECONDS = 10.0
 
 
 class Event(NamedTuple):
     """Something that happened on a worker.
 
-    ``what`` is "start", "end", "noted", or "noted late" for an end after which
+    ``kind`` is "start", "end", "noted", or "noted late" for an end after which
     the worker's lease ran out before it was noted.
     """
 
     time: float
-    what: str
+    kind: str
     worker: str
     task: model.Task
     run: int
-    how: str = ""
+    outcome: str = ""
 
 
 class _Run(NamedTuple):
     task: model.Task
     number: int
     ends_at: float
-    how: model.End
+    outcome: model.End
 
 
 class Worker:
@@ -59,8 +59,8 @@
         rng: random.Random,
         *,
         drift: float = 0.0,
-        work: float = 1.0,
-        fail_share: float = 0.0,
+        max_work_seconds: float = 1.0,
+        failure_rate: float = 0.0,
     ) -> None:
         self.id = id
         self.events = events
@@ -69,8 +69,8 @@
         self.lasting = False
         self._rng = rng
         self._drift = drift
-        self._work = work
-        self._fail_share = fail_share
+        self._max_work_seconds = max_work_seconds
+        self._failure_rate = failure_rate
         self._offset = rng.uniform(0, 1000)
         self._fence = 0
         self._deadline = 0.0
@@ -92,7 +92,7 @@
         ends = (self._deadline - self._offset) / (1 - self._drift)
         for run in list(self.runs.values()):
             if run.ends_at <= min(now, ends):
-                self._end(run, run.how, now)
+                self._end(run, run.outcome, now)
         lapsed = now > ends
         self._lapses += lapsed and not self._is_lapsed
         self._is_lapsed = lapsed
@@ -122,16 +122,20 @@
             return workers.Verdict.DONE
         if order.run <= self._barred.get(order.task, 0) or present is not None:
             return workers.Verdict.OLD
-        length, how = self.choose_end(order)
+        length, how = self.draw_end(order)
         self.runs[order.task] = _Run(order.task, order.run, now + length, how)
         self.events.append(Event(now, "start", self.id, order.task, order.run))
         return workers.Verdict.DONE
 
-    def choose_end(self, order: workers.Start) -> tuple[float, model.End]:
+    def draw_end(self, order: workers.Start) -> tuple[float, model.End]:
         """Return after how many seconds a run ends, and how."""
-        failed = self._rng.random() < self._fail_share
+        failed = self._rng.random() < self._failure_rate
         how = model.End.FAILED if failed else model.End.DONE
-        return (1e9 if self.lasting else self._rng.uniform(0.2, 1.0) * self._work), how
+        return (
+            1e9
+            if self.lasting
+            else self._rng.uniform(0.2, 1.0) * self._max_work_seconds
+        ), how
 
     def stop(
         self, task: model.Task, run: int, fence: int, now: float
@@ -170,7 +174,7 @@
         return workers.Verdict.DONE, running, tuple(self._ended)
 
     def _extend(self, deadline: float, now: float) -> None:
-        most = self.read_clock(now) + LONGEST_LEASE
+        most = self.read_clock(now) + MAX_LEASE_SECONDS
         self._deadline = max(self._deadline, min(deadline, most))
 
     def _end(self, run: _Run, how: model.End, now: float) -> None:
--- a/standins/soak/application.py
+++ b/standins/soak/application.py
@@ -7,7 +7,7 @@
 import orjson
 
 from standins import serving
-from standins.soak import store, yard
+from standins.soak import store, vmfleet
 
 __all__ = ["Application"]
 
@@ -19,14 +19,14 @@
     ----------
     rows : store.Store
         Answers the store's calls.
-    vms : yard.Yard
+    vms : vmfleet.VmFleet
         Answers calls on VMs and to workers.
-    workers : dict of int to yard.Vm
+    workers : dict of int to vmfleet.Vm
         By the port that a worker listens on.
     """
 
     def __init__(
-        self, rows: store.Store, vms: yard.Yard, workers: dict[int, yard.Vm]
+        self, rows: store.Store, vms: vmfleet.VmFleet, workers: dict[int, vmfleet.Vm]
     ) -> None:
         self._rows = rows
         self._vms = vms
--- a/standins/soak/audit.py
+++ b/standins/soak/audit.py
@@ -3,12 +3,12 @@
 import time
 from typing import NamedTuple
 
-from standins import history, siteworker
-from standins.soak import caller, fault, scene, yard
+from standins import siteworker, taskhistory
+from standins.soak import caller, environment, fault, vmfleet
 from wigeonhitch.jobs import model
 from wigeonhitch.platform import http
 
-__all__ = ["Seen", "check"]
+__all__ = ["Observations", "check"]
 
 TOUCH = 3.0
 """Seconds after a disturbance until times are promised again."""
@@ -32,13 +32,13 @@
 """Seconds after which nothing starts on a worker that leaves."""
 
 
-class Seen(NamedTuple):
+class Observations(NamedTuple):
     """Everything that a run showed."""
 
-    jobs: list[caller.Sent]
+    jobs: list[caller.SubmittedJob]
     calls: list[caller.Call]
     spans: list[fault.Span]
-    yard: yard.Yard
+    vm_fleet: vmfleet.VmFleet
     ended: float
 
     def is_disturbed(self, begin: float, end: float, target: str = "") -> bool:
@@ -51,19 +51,19 @@
         )
 
 
-def check(seen: Seen) -> list[str]:
+def check(seen: Observations) -> list[str]:
     """Return what went wrong, a line each."""
     jobs = {job.id: job for job in seen.jobs}
 
     def get_size(task: model.Task) -> int:
         return jobs[task.job].body["steps"][task.step]["cpu"]
 
-    events = seen.yard.events
+    events = seen.vm_fleet.events
     unknown = {event.task.job for event in events} - set(jobs)
     if unknown:
         return [f"job that nobody submitted: {id}" for id in sorted(unknown)]
     return [
-        *history.check_runs(events, get_size, yard.CPU),
+        *taskhistory.check_task_runs(events, get_size, vmfleet.CPU),
         *_check_starts(seen, jobs),
         *_check_lasting(seen, jobs),
         *_check_answers(seen, jobs),
@@ -73,25 +73,27 @@
     ]
 
 
-def _check_starts(seen: Seen, jobs: dict[str, caller.Sent]) -> list[str]:
+def _check_starts(
+    seen: Observations, jobs: dict[str, caller.SubmittedJob]
+) -> list[str]:
     """Check order, times, attempts, refusals, cancellations and leaving workers."""
     faults = []
     done: set[model.Task] = set()
     failed: dict[model.Task, int] = {}
     to_wall = time.time() - http.read_clock()
-    for event in seen.yard.events:
+    for event in seen.vm_fleet.events:
         job = jobs[event.task.job]
-        if event.what == "noted" and event.how == "failed":
+        if event.kind == "noted" and event.outcome == "failed":
             failed[event.task] = failed.get(event.task, 0) + 1
-        if event.what == "end" and event.how == "done":
+        if event.kind == "end" and event.outcome == "done":
             done.add(event.task)
-        if event.what != "start":
+        if event.kind != "start":
             continue
         if job.was_refused:
             faults.append(f"refused job started: {event}")
         if not _is_after(job, event.task, done):
             faults.append(f"started before an earlier step was done: {event}")
-        if failed.get(event.task, 0) >= scene.MAX_ATTEMPTS and not job.lasts:
+        if failed.get(event.task, 0) >= environment.MAX_ATTEMPTS and not job.lasts:
             faults.append(f"started after its last attempt: {event}")
         start = job.body.get("start_at_ms", 0) / 1000
         due = start + event.task.occurrence * job.body.get("interval_ms", 0) / 1000
@@ -102,7 +104,7 @@
 
 
 def _check_late_start(
-    seen: Seen, job: caller.Sent, event: siteworker.Event
+    seen: Observations, job: caller.SubmittedJob, event: siteworker.Event
 ) -> list[str]:
     faults = []
     is_calm = not seen.is_disturbed(event.time - TOUCH, event.time)
@@ -110,13 +112,15 @@
         faults.append(
             f"started {event.time - job.cancelled:.1f} s after cancel: {event}"
         )
-    drained = seen.yard.drained.get(event.worker)
+    drained = seen.vm_fleet.drained.get(event.worker)
     if drained and event.time > drained + DRAIN and is_calm:
         faults.append(f"started on a leaving worker: {event}")
     return faults
 
 
-def _is_after(job: caller.Sent, task: model.Task, done: set[model.Task]) -> bool:
+def _is_after(
+    job: caller.SubmittedJob, task: model.Task, done: set[model.Task]
+) -> bool:
     return all(
         task._replace(step=step, index=index) in done
         for step in job.body["steps"][task.step].get("after", ())
@@ -124,19 +128,21 @@
     )
 
 
-def _check_lasting(seen: Seen, jobs: dict[str, caller.Sent]) -> list[str]:
+def _check_lasting(
+    seen: Observations, jobs: dict[str, caller.SubmittedJob]
+) -> list[str]:
     """Check that orders leave enough tasks of a lasting step at work."""
     faults = []
     away: dict[model.Task, tuple[float, str]] = {}
-    for event in seen.yard.events:
+    for event in seen.vm_fleet.events:
         job = jobs[event.task.job]
         if not job.lasts:
             continue
-        if event.what == "start":
+        if event.kind == "start":
             away.pop(event.task, None)
-        elif event.what == "end" and away.get(event.task, ("", ""))[1] != "ordered":
-            away[event.task] = (event.time, event.how)
-        if event.what != "ordered" or job.cancel_sent or _leaves(seen, event):
+        elif event.kind == "end" and away.get(event.task, ("", ""))[1] != "ordered":
+            away[event.task] = (event.time, event.outcome)
+        if event.kind != "ordered" or job.cancel_sent or _leaves(seen, event):
             continue
         away[event.task] = (event.time, "ordered")
         others = sum(
@@ -150,12 +156,14 @@
     return faults
 
 
-def _leaves(seen: Seen, event: siteworker.Event) -> bool:
-    drained = seen.yard.drained.get(event.worker)
+def _leaves(seen: Observations, event: siteworker.Event) -> bool:
+    drained = seen.vm_fleet.drained.get(event.worker)
     return drained is not None and drained <= event.time
 
 
-def _check_answers(seen: Seen, jobs: dict[str, caller.Sent]) -> list[str]:
+def _check_answers(
+    seen: Observations, jobs: dict[str, caller.SubmittedJob]
+) -> list[str]:
     """Check that accepted jobs stay known, and that refusals name a time."""
     faults = []
     for call in seen.calls:
@@ -170,7 +178,7 @@
     return faults
 
 
-def _check_breaks(seen: Seen) -> list[str]:
+def _check_breaks(seen: Observations) -> list[str]:
     """Check that no answer breaks off but for a disturbance of its daemon."""
     return [
         f"answer broke off: {call}"
@@ -182,23 +190,23 @@
     ]
 
 
-def _is_past_grace(seen: Seen, call: caller.Call) -> bool:
+def _is_past_grace(seen: Observations, call: caller.Call) -> bool:
     """Whether the daemon's process was killed since its grace was over."""
     return any(
         span.kind == "stop"
         and span.target == call.daemon
-        and call.ended > span.begin + scene.GRACE - 0.1
-        and call.sent < span.begin + scene.GRACE + 1
+        and call.ended > span.begin + environment.GRACE - 0.1
+        and call.sent < span.begin + environment.GRACE + 1
         for span in seen.spans
     )
 
 
-def _check_orders(seen: Seen) -> list[str]:
+def _check_orders(seen: Observations) -> list[str]:
     """Check waves' ceilings and that no fencing token has two holders."""
     faults = []
     holders: dict[tuple[str, int], str] = {}
-    upkeeps: list[yard.Order] = []
-    for order in seen.yard.orders:
+    upkeeps: list[vmfleet.Order] = []
+    for order in seen.vm_fleet.orders:
         known = holders.setdefault((order.vm, order.fence), order.holder)
         if known != order.holder:
             faults.append(f"two holders of one fencing token: {order}, {known}")
@@ -207,7 +215,7 @@
         down = [
             one
             for one in upkeeps
-            if one.wave == order.wave and order.time - one.time < yard.REJOIN
+            if one.wave == order.wave and order.time - one.time < vmfleet.REJOIN
         ]
         upkeeps.append(order)
         if down:
@@ -215,18 +223,20 @@
     return faults
 
 
-def _check_finals(seen: Seen) -> list[str]:
+def _check_finals(seen: Observations) -> list[str]:
     """Check what became of every accepted job, once all faults are over."""
     faults = []
     ends: dict[str, set[model.Task]] = {}
     failures: dict[model.Task, int] = {}
-    for event in seen.yard.events:
-        if event.what == "end" and event.how == "done":
+    for event in seen.vm_fleet.events:
+        if event.kind == "end" and event.outcome == "done":
             ends.setdefault(event.task.job, set()).add(event.task)
-        elif event.what == "end" and event.how == "failed":
+        elif event.kind == "end" and event.outcome == "failed":
             failures[event.task] = failures.get(event.task, 0) + 1
     spent = {
-        task.job for task, count in failures.items() if count >= scene.MAX_ATTEMPTS
+        task.job
+        for task, count in failures.items()
+        if count >= environment.MAX_ATTEMPTS
     }
     for job in seen.jobs:
         if not job.accepted:
@@ -248,35 +258,41 @@
     return faults
 
 
-def _count(job: caller.Sent) -> int:
+def _count(job: caller.SubmittedJob) -> int:
     tasks = sum(step["count"] for step in job.body["steps"])
     return tasks * max(1, job.body.get("times", 0))
 
 
-def _list_running(seen: Seen, job: caller.Sent) -> list[model.Task]:
+def _list_running(seen: Observations, job: caller.SubmittedJob) -> list[model.Task]:
     return [
         task
-        for vm in seen.yard.vms.values()
+        for vm in seen.vm_fleet.vms.values()
         if vm.life is not None
         for task in vm.life.runs
         if task.job == job.id
     ]
 
 
-def _check_cancelled(seen: Seen, job: caller.Sent, name: str) -> list[str]:
+def _check_cancelled(
+    seen: Observations, job: caller.SubmittedJob, name: str
+) -> list[str]:
     running = _list_running(seen, job)
     if running and seen.ended > (job.cancelled or 0.0) + CANCEL:
         return [f"cancelled job still runs: {name}: {running}"]
     return []
 
 
-def _check_at_work(seen: Seen, job: caller.Sent, name: str) -> list[str]:
+def _check_at_work(
+    seen: Observations, job: caller.SubmittedJob, name: str
+) -> list[str]:
     """Check that no task of a lasting job is away for long at the end.
 
     A wave that still goes on moves them, so that one may be away for a moment.
     """
     running = _list_running(seen, job)
-    last = {one.task: one.time for one in seen.yard.events if one.task.job == job.id}
+    last = {
+        one.task: one.time for one in seen.vm_fleet.events if one.task.job == job.id
+    }
     return [
         f"lasting task {index} is away for {seen.ended - since:.1f} s: {name}"
         for index in range(job.body["steps"][0]["count"])
--- a/standins/soak/caller.py
+++ b/standins/soak/caller.py
@@ -12,11 +12,11 @@
 import anyio
 import httpx
 
-from standins.soak import scene
+from standins.soak import environment
 from wigeonhitch.jobs import model
 from wigeonhitch.platform import http
 
-__all__ = ["Call", "Callers", "Sent"]
+__all__ = ["Call", "Callers", "SubmittedJob"]
 
 TIMEOUT = 3.0
 """Seconds that a caller waits for an answer."""
@@ -57,10 +57,10 @@
     broke: str = ""
 
 
-class Sent:
+class SubmittedJob:
     """A job as its caller knows it."""
 
-    def __init__(self, id: str, queue: scene.Queue, body: dict[str, Any]) -> None:
+    def __init__(self, id: str, queue: environment.Queue, body: dict[str, Any]) -> None:
         self.id = id
         self.queue = queue
         self.body = body
@@ -92,9 +92,12 @@
     """
 
     def __init__(
-        self, site: scene.Scene, rng: random.Random, client: httpx.AsyncClient
+        self,
+        site: environment.Environment,
+        rng: random.Random,
+        client: httpx.AsyncClient,
     ) -> None:
-        self.jobs: list[Sent] = []
+        self.jobs: list[SubmittedJob] = []
         self.calls: list[Call] = []
         self._site = site
         self._rng = rng
@@ -103,11 +106,11 @@
     async def run(self, rate: float, seconds: float) -> None:
         """Submit ``rate`` jobs a second for a time; ask for them meanwhile."""
         async with anyio.create_task_group() as group:
-            for queue in scene.QUEUES:
+            for queue in environment.QUEUES:
                 group.start_soon(self._live, self._make_job(queue, lasts=True))
             until = http.read_clock() + seconds
             while http.read_clock() < until:
-                queue = self._rng.choice(scene.QUEUES)
+                queue = self._rng.choice(environment.QUEUES)
                 group.start_soon(self._live, self._make_job(queue, lasts=False))
                 await anyio.sleep(self._rng.expovariate(rate))
             await anyio.sleep(ASK_EVERY)
@@ -119,7 +122,7 @@
         async with anyio.create_task_group() as group:
             until = http.read_clock() + seconds
             while http.read_clock() < until:
-                for queue in scene.QUEUES:
+                for queue in environment.QUEUES:
                     owner = self._site.read_owner(queue.pool)
                     if owner and owner != known.get(queue.pool):
                         known[queue.pool] = owner
@@ -129,23 +132,23 @@
             await anyio.sleep(ASK_EVERY)
             group.cancel_scope.cancel()
 
-    async def _submit_soon(self, queue: scene.Queue) -> None:
+    async def _submit_soon(self, queue: environment.Queue) -> None:
         await anyio.sleep(self._rng.uniform(0.0, WITHIN))
         await self._live(self._make_job(queue, lasts=False))
 
-    async def ask(self, job: Sent) -> Call:
+    async def ask(self, job: SubmittedJob) -> Call:
         """Ask for a job's state."""
         call = await self._call("GET", job)
         if call.status == 200:
             self._note_state(job, call)
         return call
 
-    def _note_state(self, job: Sent, call: Call) -> None:
+    def _note_state(self, job: SubmittedJob, call: Call) -> None:
         state = model.JobState(call.body["state"])
         if state.is_final and not job.final:
             job.final = state.value
 
-    async def cancel(self, job: Sent) -> Call:
+    async def cancel(self, job: SubmittedJob) -> Call:
         """Cancel a job."""
         job.cancel_sent = job.cancel_sent or http.read_clock()
         call = await self._call("DELETE", job)
@@ -153,7 +156,7 @@
             job.cancelled = call.ended
         return call
 
-    def _make_job(self, queue: scene.Queue, lasts: bool) -> Sent:
+    def _make_job(self, queue: environment.Queue, lasts: bool) -> SubmittedJob:
         id = f"{self._rng.getrandbits(64):016x}"
         if lasts:
             step = {"count": 3, "cpu": 500, "mem_mb": 64, "perpetual": True}
@@ -172,11 +175,11 @@
         if not lasts and self._rng.random() < 0.1:
             body["times"], body["interval_ms"] = 2, 1000
             body["start_at_ms"] = int(time.time() * 1000) + 1500
-        job = Sent(id, queue, body)
+        job = SubmittedJob(id, queue, body)
         self.jobs.append(job)
         return job
 
-    async def _live(self, job: Sent) -> None:
+    async def _live(self, job: SubmittedJob) -> None:
         """Hand a job in, perhaps cancel it, and ask until it is final."""
         if not await self._submit(job):
             return
@@ -187,7 +190,7 @@
             await anyio.sleep(ASK_EVERY * self._rng.uniform(0.5, 1.5))
             await self.ask(job)
 
-    async def _submit(self, job: Sent) -> bool:
+    async def _submit(self, job: SubmittedJob) -> bool:
         for _ in range(TRIES):
             job.tries += 1
             call = await self._call("POST", job)
@@ -199,7 +202,7 @@
             await anyio.sleep(self._rng.uniform(0.2, 1.2))
         return False
 
-    async def _call(self, method: str, job: Sent) -> Call:
+    async def _call(self, method: str, job: SubmittedJob) -> Call:
         daemon = self._rng.choice(self._site.daemons)
         path = f"http://{daemon.callers}{job.queue.prefix}{job.id}"
         sent = http.read_clock()
--- a/standins/soak/scene.py
+++ b/standins/soak/environment.py
@@ -13,14 +13,14 @@
 import orjson
 
 from standins.demo import process
-from standins.soak import application, relay, store, yard
+from standins.soak import application, relay, store, vmfleet
 from wigeonhitch.daemon import server
 from wigeonhitch.leadership import record
 from wigeonhitch.platform import entries, http, node
 
-__all__ = ["POOLS", "QUEUES", "Daemon", "Queue", "Scene", "open_scene"]
+__all__ = ["POOLS", "QUEUES", "Daemon", "Queue", "Environment", "open_environment"]
 
-POOLS = {"alpha": 3, "beta": 3, yard.STANDBY: 2}
+POOLS = {"alpha": 3, "beta": 3, vmfleet.STANDBY: 2}
 """VMs a pool: enough that a lost VM leaves room, few enough to fill up."""
 
 CALLERS_PORT = 8624
@@ -51,7 +51,7 @@
 QUEUES = tuple(
     Queue(f"queue-{pool}", f"{pool}.example", f"/{pool}/", pool)
     for pool in POOLS
-    if pool != yard.STANDBY
+    if pool != vmfleet.STANDBY
 )
 
 MAX_ATTEMPTS = 3
@@ -117,7 +117,7 @@
             await anyio.sleep(RESTART)
 
 
-class Scene:
+class Environment:
     """Everything of one run.
 
     Attributes
@@ -129,7 +129,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.store = store.Store()
-        self.yard = yard.Yard(self.store.rows, rng)
+        self.vm_fleet = vmfleet.VmFleet(self.store.rows, rng)
         self.daemons: list[Daemon] = []
         self.links: dict[str, relay.Relay] = {}
 
@@ -145,7 +145,7 @@
         for number in range(extra):
             more = Queue(f"more-{number}", f"more{number}.example", "/", "alpha")
             routes.append(_write_route(more))
-        services = [{"name": one, "standby": one == yard.STANDBY} for one in POOLS]
+        services = [{"name": one, "standby": one == vmfleet.STANDBY} for one in POOLS]
         fields = {"version": version, "routes": routes, "services": services}
         self.store.rows.put(
             entries.OPERATOR_TABLE, "", entries.CATALOGUE_KEY, orjson.dumps(fields)
@@ -165,21 +165,21 @@
 
 
 @contextlib.asynccontextmanager
-async def open_scene(
+async def open_environment(
     folder: pathlib.Path, count: int, rng: random.Random, without: str = ""
 ) -> Any:
     """Run a site with ``count`` daemons; everything ends with the block.
 
     ``without`` names a mechanism of `standins.soak.without` that they lack.
     """
-    scene = Scene(rng)
-    scene.write_catalogue(1)
+    environment = Environment(rng)
+    environment.write_catalogue(1)
     ports = process.Ports()
     program = (WEAKENED, without) if without else (PROGRAM,)
     network = _choose_network()
-    platform, calls = ports.take(2)
-    workers = _add_vms(scene, ports)
-    one = application.Application(scene.store, scene.yard, workers)
+    platform, calls = ports.allocate(2)
+    workers = _add_vms(environment, ports)
+    one = application.Application(environment.store, environment.vm_fleet, workers)
     addresses = [f"127.0.0.1:{port}" for port in (platform, calls, *workers)]
     stopped = anyio.Event()
     async with anyio.create_task_group() as servers:
@@ -193,9 +193,9 @@
                         daemon = _make_daemon(
                             folder, number, host, ports, (platform, calls), program
                         )
-                        scene.daemons.append(daemon)
-                    await _start(scene, addresses, group, stack)
-                    yield scene
+                        environment.daemons.append(daemon)
+                    await _start(environment, addresses, group, stack)
+                    yield environment
                     group.cancel_scope.cancel()
             await anyio.sleep(CLOSE)
         finally:
@@ -203,19 +203,19 @@
 
 
 async def _start(
-    scene: Scene,
+    environment: Environment,
     addresses: list[str],
     group: anyio.abc.TaskGroup,
     stack: contextlib.ExitStack,
 ) -> None:
     """Start the links, then the VMs, then the daemons."""
-    links = [link for daemon in scene.daemons for link in daemon.relays]
-    for link in (*scene.links.values(), *links):
+    links = [link for daemon in environment.daemons for link in daemon.relays]
+    for link in (*environment.links.values(), *links):
         await group.start(link.run)
     for address in addresses:
         await server.wait_until_listening(address)
-    group.start_soon(scene.yard.run)
-    for daemon in scene.daemons:
+    group.start_soon(environment.vm_fleet.run)
+    for daemon in environment.daemons:
         group.start_soon(daemon.keep, stack)
 
 
@@ -225,16 +225,16 @@
     return f"127.{any_rng.randrange(1, 250)}.{any_rng.randrange(250)}"
 
 
-def _add_vms(scene: Scene, ports: process.Ports) -> dict[int, yard.Vm]:
+def _add_vms(environment: Environment, ports: process.Ports) -> dict[int, vmfleet.Vm]:
     found = {}
     for pool, count in POOLS.items():
         for number in range(count):
-            port, outside = ports.take(2)
+            port, outside = ports.allocate(2)
             name = f"{pool}-{number}"
             link = relay.Relay("127.0.0.1", outside, "127.0.0.1", port)
-            scene.links[name] = link
-            found[port] = yard.Vm(name, pool, port, link.address)
-            scene.yard.add(found[port])
+            environment.links[name] = link
+            found[port] = vmfleet.Vm(name, pool, port, link.address)
+            environment.vm_fleet.add(found[port])
     return found
 
 
@@ -247,7 +247,7 @@
     program: tuple[str, ...],
 ) -> Daemon:
     links = [
-        relay.Relay("127.0.0.1", ports.take()[0], "127.0.0.1", target)
+        relay.Relay("127.0.0.1", ports.allocate()[0], "127.0.0.1", target)
         for target in targets
     ]
     name = f"daemon-{number}"
@@ -278,7 +278,7 @@
 
 
 def _end(running: subprocess.Popen[bytes]) -> None:
-    """End a process that this scene started."""
+    """End a process that this environment started."""
     if running.poll() is None:
         running.kill()
     running.wait()
--- a/standins/soak/fault.py
+++ b/standins/soak/fault.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from standins.soak import relay, scene
+from standins.soak import environment, relay
 from wigeonhitch.platform import http
 
 __all__ = ["KINDS", "PLANNED", "Fault", "Injector", "Span", "plan"]
@@ -83,7 +83,7 @@
         What was done, for the checks.
     """
 
-    def __init__(self, site: scene.Scene, rng: random.Random) -> None:
+    def __init__(self, site: environment.Environment, rng: random.Random) -> None:
         self.spans: list[Span] = []
         self._site = site
         self._rng = rng
@@ -120,7 +120,7 @@
             daemon.signal(signal.SIGKILL)
         elif fault.kind == "stop":
             daemon.terminate()
-            await anyio.sleep(scene.GRACE)
+            await anyio.sleep(environment.GRACE)
         elif fault.kind == "reload":
             with daemon.settings.open("a") as settings:
                 settings.write(f"unknown.key={fault.pick}\n")
@@ -142,14 +142,14 @@
             await anyio.sleep(fault.for_s)
             store.delay = 0.0
         elif fault.kind == "answers lost":
-            store.rows.loses += 1 + int(fault.pick * 8)
+            store.rows.lost_answers += 1 + int(fault.pick * 8)
         elif fault.kind == "late writes":
-            store.rows.holds_back += 1 + int(fault.pick * 8)
+            store.rows.deferred_commits += 1 + int(fault.pick * 8)
             await anyio.sleep(1 + fault.for_s)
-            store.rows.holds_back = 0
-            store.rows.apply_late()
+            store.rows.deferred_commits = 0
+            store.rows.apply_deferred()
         else:
-            store.rows.forget_history()
+            store.rows.expire_history()
         return "store"
 
     def _operate(self, kind: str) -> str:
@@ -157,7 +157,7 @@
             self._version += self._rng.randint(1, 5)
             self._site.write_catalogue(self._version, self._rng.randrange(20))
             return str(self._version)
-        names = [one.name for one in self._site.yard.vms.values()]
+        names = [one.name for one in self._site.vm_fleet.vms.values()]
         self._waves += 1
         chosen = sorted(self._rng.sample(names, 3))
         self._site.order_wave(self._waves, chosen, 20.0)
@@ -169,11 +169,11 @@
             daemon = _pick(self._site.daemons, fault.pick)
             await _strike(daemon.store, what, fault.for_s)
             return daemon.name
-        vm = _pick(list(self._site.yard.vms.values()), fault.pick)
+        vm = _pick(list(self._site.vm_fleet.vms.values()), fault.pick)
         if what == "crash":
-            self._site.yard.crash(vm, fault.for_s)
+            self._site.vm_fleet.crash(vm, fault.for_s)
         elif what == "leaves":
-            self._site.yard.drain(vm)
+            self._site.vm_fleet.drain(vm)
         elif what == "late":
             vm.is_late = True
             await anyio.sleep(fault.for_s)
--- a/standins/soak/leader.py
+++ b/standins/soak/leaderfault.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from standins.soak import fault, relay, scene
+from standins.soak import environment, fault, relay
 from wigeonhitch.leadership import record
 from wigeonhitch.platform import http
 
@@ -76,7 +76,7 @@
             await super()._bring(one)
             return
         begin = http.read_clock()
-        pool = self._site.store.led or scene.QUEUES[0].pool
+        pool = self._site.store.led or environment.QUEUES[0].pool
         leader = self._find_leader(pool)
         closed = self._choose_links(pool, one.pick)
         for link in closed:
@@ -87,7 +87,7 @@
         self.spans.append(fault.Span(begin, http.read_clock(), one.kind, leader.name))
 
     async def _strike_leader(
-        self, one: fault.Fault, pool: str, leader: scene.Daemon
+        self, one: fault.Fault, pool: str, leader: environment.Daemon
     ) -> None:
         leader.store.late = {
             OWNERS: self._rng.uniform(*OWNERS_LATE),
@@ -109,7 +109,7 @@
         await anyio.sleep(BACK)
         leader.store.late = {}
 
-    async def _bring_back(self, leader: scene.Daemon, is_paused: bool) -> None:
+    async def _bring_back(self, leader: environment.Daemon, is_paused: bool) -> None:
         """Open a leader's link; paused meanwhile, it takes all news at once."""
         if is_paused:
             leader.signal(signal.SIGSTOP)
@@ -118,7 +118,7 @@
             await anyio.sleep(self._rng.uniform(*WAKE))
             leader.signal(signal.SIGCONT)
 
-    async def _delay_members(self, leader: scene.Daemon, for_s: float) -> None:
+    async def _delay_members(self, leader: environment.Daemon, for_s: float) -> None:
         """Bring news of members late to all daemons but the leader."""
         others = [one for one in self._site.daemons if one is not leader]
         for one in others:
@@ -135,7 +135,7 @@
                 await anyio.sleep(LOOK)
             await anyio.sleep(self._rng.uniform(0.0, AFTER_CLAIM))
 
-    def _find_leader(self, pool: str) -> scene.Daemon:
+    def _find_leader(self, pool: str) -> environment.Daemon:
         named = [
             one for one in self._site.daemons if one.name == self._site.read_owner(pool)
         ]
@@ -143,7 +143,7 @@
 
     def _choose_links(self, pool: str, pick: float) -> list[relay.Relay]:
         """Return the links to some of a pool's VMs, but not to all."""
-        vms = [one for one in self._site.yard.vms.values() if one.pool == pool]
+        vms = [one for one in self._site.vm_fleet.vms.values() if one.pool == pool]
         first = int(pick * len(vms))
         count = len(vms) // 2 + int(pick * 10) % 2
         chosen = (vms[first:] + vms[:first])[: min(count, len(vms) - 1)]
--- a/standins/soak/main.py
+++ b/standins/soak/main.py
@@ -12,7 +12,7 @@
 import yaml
 
 from standins.demo import process
-from standins.soak import audit, caller, fault, leader, scene
+from standins.soak import audit, caller, environment, fault, leaderfault
 from wigeonhitch.platform import http
 
 __all__ = ["Result", "list_kept", "play", "run"]
@@ -43,7 +43,7 @@
 
 def run() -> None:
     """Run seeds one after the other; exit status 1 if a promise was broken."""
-    process.end_on_signal()
+    process.exit_on_sigterm()
     sys.exit(defopt.run(soak))
 
 
@@ -124,24 +124,28 @@
 ) -> Result:
     """Play one seed."""
     rng = random.Random(seed)
-    plan = leader.plan if leaders else fault.plan
+    plan = leaderfault.plan if leaders else fault.plan
     faults = plan(random.Random(seed), seconds)
     limits = httpx.Limits(max_connections=CALLERS, keepalive_expiry=60.0)
     async with (
         httpx.AsyncClient(limits=limits, trust_env=False) as client,
-        scene.open_scene(folder, daemons, rng, without) as site,
+        environment.open_environment(folder, daemons, rng, without) as site,
     ):
         await _await_ready(site)
         callers = caller.Callers(site, rng, client)
-        injector = leader.Injector(site, rng)
+        injector = leaderfault.Injector(site, rng)
         async with anyio.create_task_group() as group:
             group.start_soon(callers.run, rate, seconds)
             if leaders:
                 group.start_soon(callers.run_at_claims, seconds)
             await injector.run(faults)
         await _settle(callers)
-        seen = audit.Seen(
-            callers.jobs, callers.calls, injector.spans, site.yard, http.read_clock()
+        seen = audit.Observations(
+            callers.jobs,
+            callers.calls,
+            injector.spans,
+            site.vm_fleet,
+            http.read_clock(),
         )
         return Result(
             seed,
@@ -149,12 +153,12 @@
             len(seen.jobs),
             len(seen.calls),
             sum(1 for call in seen.calls if call.status in (429, 503)),
-            sum(1 for event in site.yard.events if event.what == "start"),
+            sum(1 for event in site.vm_fleet.events if event.what == "start"),
             seen.spans,
         )
 
 
-async def _await_ready(site: scene.Scene) -> None:
+async def _await_ready(site: environment.Environment) -> None:
     """Wait until every daemon answers that it is ready."""
     async with httpx.AsyncClient(trust_env=False) as client:
         with anyio.fail_after(START_LIMIT):
@@ -166,7 +170,9 @@
 
 async def _is_ready(client: httpx.AsyncClient, host: str) -> bool:
     try:
-        answer = await client.get(f"http://{host}:{scene.READY_PORT}/v1/readiness")
+        answer = await client.get(
+            f"http://{host}:{environment.READY_PORT}/v1/readiness"
+        )
     except httpx.TransportError:
         return False
     return answer.status_code == 200
--- a/standins/soak/yard.py
+++ b/standins/soak/vmfleet.py
@@ -11,7 +11,7 @@
 from wigeonhitch.jobs import model
 from wigeonhitch.platform import entries, fleet, http, workers
 
-__all__ = ["CPU", "STANDBY", "Order", "Vm", "Yard"]
+__all__ = ["CPU", "STANDBY", "Order", "Vm", "VmFleet"]
 
 CPU = 8000
 """Thousandths of a core that each VM has."""
@@ -60,7 +60,7 @@
 class Worker(siteworker.Worker):
     """A worker whose runs end as their ``spec`` says."""
 
-    def choose_end(self, order: workers.Start) -> tuple[float, model.End]:
+    def draw_end(self, order: workers.Start) -> tuple[float, model.End]:
         """Return after how many seconds a run ends, and how."""
         asked = orjson.loads(order.spec)
         failed = self._rng.random() < asked.get("fail", 0.0)
@@ -85,7 +85,7 @@
         self.runs_changed = anyio.Event()
 
 
-class Yard:
+class VmFleet:
     """All VMs of a site.
 
     Attributes
--- a/standins/storelink.py
+++ b/standins/storelink.py
@@ -28,7 +28,7 @@
 
     def __init__(self, store: rows.RowStore) -> None:
         self.is_cut = False
-        self.slow: dict[str, float] = {}
+        self.read_delays: dict[str, float] = {}
         self._store = store
 
     async def commit(self, change: rows.Transaction, *, timeout: float) -> rows.Change:
@@ -65,7 +65,7 @@
     async def _carry(self, name: str, call: Awaitable[Any]) -> Any:
         sent = http.read_clock()
         answer = await call
-        await anyio.sleep(self.slow.get(name, 0.0))
+        await anyio.sleep(self.read_delays.get(name, 0.0))
         if self.is_cut:
             return type(answer)(table.Outcome.UNKNOWN, reason="timeout")
         return answer._replace(sent=sent, received=http.read_clock())
--- a/standins/history.py
+++ b/standins/taskhistory.py
@@ -5,10 +5,10 @@
 from standins import siteworker
 from wigeonhitch.jobs import model
 
-__all__ = ["check_runs"]
+__all__ = ["check_task_runs"]
 
 
-def check_runs(
+def check_task_runs(
     events: list[siteworker.Event],
     get_size: Callable[[model.Task], int],
     capacity: int,
@@ -30,7 +30,7 @@
     numbers: dict[model.Task, int] = {}
     used: dict[str, int] = {}
     for event in events:
-        if event.what == "start":
+        if event.kind == "start":
             if event.task in live:
                 faults.append(f"two runs at once: {event} beside {live[event.task]}")
             if event.task in noted:
@@ -42,10 +42,10 @@
             used[event.worker] = used.get(event.worker, 0) + get_size(event.task)
             if used[event.worker] > capacity:
                 faults.append(f"beyond the room: {event}")
-        elif event.what == "end":
+        elif event.kind == "end":
             used[event.worker] -= get_size(event.task)
             if live.get(event.task) == (event.worker, event.run):
                 del live[event.task]
-        elif event.what == "noted" and event.how == "done":
+        elif event.kind == "noted" and event.outcome == "done":
             noted.add(event.task)
     return faults
--- a/standins/tests/test_demohistory.py
+++ b/standins/tests/test_demohistory.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from standins.demo import history, traffic
+from standins.demo import checks, traffic
 
 
 def make_outcome(name="r/0", **fields):
@@ -28,11 +28,11 @@
         make_outcome("q/0", **REFUSED),
     ]
     runs = [make_run()]
-    assert history.find_wrong_answers(outcomes) == []
-    assert history.find_silent_ends(outcomes) == []
-    assert history.find_dishonest_refusals(outcomes, runs) == []
-    assert history.find_second_runs(outcomes, runs) == []
-    assert history.find_cut_requests(runs) == []
+    assert checks.find_wrong_answers(outcomes) == []
+    assert checks.find_missing_verdicts(outcomes) == []
+    assert checks.find_false_refusals(outcomes, runs) == []
+    assert checks.find_duplicate_runs(outcomes, runs) == []
+    assert checks.find_interrupted_requests(runs) == []
 
 
 @pytest.mark.parametrize(
@@ -45,47 +45,47 @@
     ],
 )
 def test_another_callers_answer_and_half_an_answer_are_found(answer):
-    assert history.find_wrong_answers([make_outcome(answer=answer)])
-    assert history.find_wrong_answers([make_outcome(answer=answer, reason=KEPT)])
+    assert checks.find_wrong_answers([make_outcome(answer=answer)])
+    assert checks.find_wrong_answers([make_outcome(answer=answer, reason=KEPT)])
 
 
 def test_a_broken_connection_and_a_missing_verdict_are_found():
     broken = make_outcome()._replace(ended=traffic.BROKEN, verdict="")
-    assert history.find_silent_ends([broken])
-    assert history.find_silent_ends([broken], {"d1"}) == []
-    assert history.find_silent_ends([make_outcome(verdict="")])
+    assert checks.find_missing_verdicts([broken])
+    assert checks.find_missing_verdicts([broken], {"d1"}) == []
+    assert checks.find_missing_verdicts([make_outcome(verdict="")])
 
 
 def test_a_refused_attempt_that_ran_is_found():
     outcomes = [make_outcome(**REFUSED)]
-    assert history.find_dishonest_refusals(outcomes, [make_run()])
-    assert history.find_dishonest_refusals(outcomes, [make_run("r/1")]) == []
+    assert checks.find_false_refusals(outcomes, [make_run()])
+    assert checks.find_false_refusals(outcomes, [make_run("r/1")]) == []
 
 
 def test_a_second_run_of_another_attempt_is_found():
     outcomes = [make_outcome(), make_outcome("r/1")]
-    assert history.find_second_runs(outcomes, [make_run(), make_run("r/1", "w2")])
+    assert checks.find_duplicate_runs(outcomes, [make_run(), make_run("r/1", "w2")])
 
 
 def test_work_after_a_drain_and_a_cut_request_are_found():
     def entry(state, time):
         return {"time": time, "writes": [["vm/w1", {"state": state}]]}
 
-    drains = history.find_drains(
+    drains = checks.find_drains(
         [entry("up", 1.0), entry("draining", 5.0), entry("rebooting", 30.0)]
     )
-    assert drains == [history.Drain("w1", 5.0, 30.0)]
+    assert drains == [checks.Drain("w1", 5.0, 30.0)]
     runs = [make_run(started=at) for at in (4.0, 6.0, 20.0, 40.0)]
-    latest, late = history.find_late_work(drains, runs, limit=5.0)
+    latest, late = checks.find_late_starts(drains, runs, limit=5.0)
     assert latest == 15.0
     assert len(late) == 1
-    assert history.find_cut_requests([make_run(outcome="cut off")])
+    assert checks.find_interrupted_requests([make_run(outcome="cut off")])
 
 
 def test_a_ready_daemon_that_goes_back_is_found():
     samples = [
-        history.Sample(time, "d1", is_ready, version)
+        checks.Sample(time, "d1", is_ready, version)
         for time, is_ready, version in ((1.0, True, 3), (2.0, False, 0), (3.0, True, 2))
     ]
-    assert history.find_reverts(samples) == ["d1 went back to 2"]
-    assert history.find_reverts(samples[:2]) == []
+    assert checks.find_version_regressions(samples) == ["d1 went back to 2"]
+    assert checks.find_version_regressions(samples[:2]) == []
--- a/standins/tests/test_demoprocess.py
+++ b/standins/tests/test_demoprocess.py
@@ -26,7 +26,7 @@
 
 @pytest.fixture(scope="module")
 def child():
-    process.end_on_signal()
+    process.exit_on_sigterm()
     with contextlib.ExitStack() as stack:
         yield process.start(stack, FOLDER, "child", ["http.server", "0"])
     FOLDER.joinpath("stopped").touch()
@@ -57,28 +57,28 @@
 
 
 def test_ports_of_two_runs_differ_before_anything_listens(open_ports):
-    assert set(open_ports().take(5)).isdisjoint(open_ports().take(5))
+    assert set(open_ports().allocate(5)).isdisjoint(open_ports().allocate(5))
 
 
 def test_a_port_is_not_given_to_another_run_while_its_process_is_down(open_ports):
-    (port,) = open_ports().take()
+    (port,) = open_ports().allocate()
     for _ in range(2):
         with listen(port), socket.create_connection(("127.0.0.1", port)):
             pass
-        assert port not in open_ports().take(5)
+        assert port not in open_ports().allocate(5)
 
 
 def test_connections_to_a_port_are_refused_until_its_process_listens(open_ports):
-    (port,) = open_ports().take()
+    (port,) = open_ports().allocate()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", port))
 
 
 def test_ports_are_free_once_closed(open_ports):
     first = open_ports()
-    taken = first.take(5)
+    taken = first.allocate(5)
     first.close()
-    assert open_ports().take(5) == taken
+    assert open_ports().allocate(5) == taken
 
 
 @pytest.mark.processes
--- a/standins/tests/test_demotraffic.py
+++ b/standins/tests/test_demotraffic.py
@@ -17,7 +17,7 @@
         return {"entry-0-a": 1} if len(looks) % 2 else {}
 
     with traffic.open_traffic(find_ports, 7) as calls:
-        calls.start(1, traffic.Mix(("s",), keyed=0.0, pause=0.01))
+        calls.start(1, traffic.Mix(("s",), keyed_share=0.0, max_pause=0.01))
         calls.wait_for(3, lambda one: one.ended == traffic.UNCONNECTED)
         outcomes = calls.stop()
 
--- a/standins/tests/test_soak.py
+++ b/standins/tests/test_soak.py
@@ -12,13 +12,13 @@
 from standins.soak import (
     audit,
     caller,
+    environment,
     fault,
-    leader,
+    leaderfault,
     main,
     relay,
-    scene,
     store,
-    yard,
+    vmfleet,
 )
 from wigeonhitch.jobs import model
 
@@ -32,23 +32,23 @@
 def make_job(**fields):
     step = {"count": 1, "cpu": 1000}
     body = {"spec": "", "steps": [step, {**step, "after": [0]}], **fields}
-    job = caller.Sent(JOB, scene.QUEUES[0], body)
+    job = caller.SubmittedJob(JOB, environment.QUEUES[0], body)
     job.accepted, job.tries, job.final = 1.0, 1, "completed"
     return job
 
 
 def make_lasting_job():
     step = {"count": 3, "cpu": 500, "perpetual": True, "may_miss": 1}
-    job = caller.Sent(JOB, scene.QUEUES[0], {"spec": "", "steps": [step]})
+    job = caller.SubmittedJob(JOB, environment.QUEUES[0], {"spec": "", "steps": [step]})
     job.accepted = 1.0
     return job
 
 
 def make_seen(job, events=(), *, calls=(), spans=(), orders=()):
-    site = yard.Yard(None, random.Random(1))
+    site = vmfleet.VmFleet(None, random.Random(1))
     site.events.extend(siteworker.Event(*event) for event in events)
     site.orders.extend(orders)
-    return audit.Seen([job], list(calls), list(spans), site, 100.0)
+    return audit.Observations([job], list(calls), list(spans), site, 100.0)
 
 
 GOOD = (
@@ -144,8 +144,8 @@
 
 
 def test_an_upkeep_above_the_ceiling_and_a_shared_token_are_found():
-    orders = [yard.Order(1.0, "a", 1, "x", 7), yard.Order(1.5, "b", 1, "x", 7)]
-    shared = [yard.Order(1.0, "a", 0, "x", 7), yard.Order(9.0, "a", 0, "y", 7)]
+    orders = [vmfleet.Order(1.0, "a", 1, "x", 7), vmfleet.Order(1.5, "b", 1, "x", 7)]
+    shared = [vmfleet.Order(1.0, "a", 0, "x", 7), vmfleet.Order(9.0, "a", 0, "y", 7)]
 
     above = audit.check(make_seen(make_job(), GOOD, orders=orders))
     twice = audit.check(make_seen(make_job(), GOOD, orders=shared))
@@ -175,11 +175,15 @@
 
 
 def test_a_plan_against_leaders_repeats_and_in_time_holds_every_kind():
-    assert leader.plan(random.Random(3), 16) == leader.plan(random.Random(3), 16)
+    assert leaderfault.plan(random.Random(3), 16) == leaderfault.plan(
+        random.Random(3), 16
+    )
     kinds = {
-        one.kind for seed in range(60) for one in leader.plan(random.Random(seed), 16)
+        one.kind
+        for seed in range(60)
+        for one in leaderfault.plan(random.Random(seed), 16)
     }
-    assert kinds == set(leader.KINDS)
+    assert kinds == set(leaderfault.KINDS)
 
 
 def make_transaction(*parts, **fields):
@@ -214,7 +218,7 @@
 async def link():
     """A relay before a server that echoes."""
     ports = process.Ports()
-    target, port = ports.take(2)
+    target, port = ports.allocate(2)
     listener = await anyio.create_tcp_listener(
         local_host="127.0.0.1", local_port=target
     )
--- a/wigeonhitch/daemon/tests/conftest.py
+++ b/wigeonhitch/daemon/tests/conftest.py
@@ -39,7 +39,7 @@
                     without=os.environ.get("WITHOUT", ""),
                 ),
             )
-            made.put_in_force()
+            made.activate_document()
             return made
 
         yield open_one
--- a/wigeonhitch/daemon/tests/test_command.py
+++ b/wigeonhitch/daemon/tests/test_command.py
@@ -11,7 +11,7 @@
 import pytest
 import yaml
 
-from standins.demo import contact, process, site
+from standins.demo import process, site, siteclient
 from wigeonhitch.command import report
 
 pytestmark = pytest.mark.processes
@@ -66,7 +66,7 @@
         given = {
             "WIGEONHITCH_DAEMON": daemon or ",".join(urls),
             "WIGEONHITCH_OPERATOR": who,
-            "WIGEONHITCH_SECRET": contact.SECRET,
+            "WIGEONHITCH_SECRET": siteclient.SECRET,
         }
         ended = subprocess.run(
             [sys.executable, "-m", "wigeonhitch.command.main", *arguments],
@@ -171,7 +171,7 @@
 
 
 def test_unreachable_unknown_operator_and_store_down(running, run, in_force):
-    nobody = f"http://127.0.0.1:{running.ports.take()[0]}"
+    nobody = f"http://127.0.0.1:{running.ports.allocate()[0]}"
     ended = run("status", daemon=nobody)
     assert (ended.exit, "nothing was done" in ended.output) == (6, True)
     assert run("status", who="mallory").exit == Exit.REFUSED
@@ -198,4 +198,4 @@
         assert place in ended.output
     entry = run("settings", "credential", "ana", "operations").output
     assert yaml.safe_load(entry)[0]["name"] == "ana"
-    assert contact.SECRET not in entry
+    assert siteclient.SECRET not in entry
--- a/wigeonhitch/daemon/tests/test_daemons.py
+++ b/wigeonhitch/daemon/tests/test_daemons.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from standins.demo import history, traffic
+from standins.demo import checks, traffic
 
 SERVICES = ("order-lookup", "invoice-pairing", "member-portal")
 TAKEOVER_LIMIT = 60.0  # seconds
@@ -39,10 +39,10 @@
 def check(site, outcomes, excused=()):
     runs = site.read_logs()
     breaches = [
-        *history.find_wrong_answers(outcomes),
-        *history.find_silent_ends(outcomes, excused),
-        *history.find_dishonest_refusals(outcomes, runs),
-        *history.find_second_runs(outcomes, runs),
+        *checks.find_wrong_answers(outcomes),
+        *checks.find_missing_verdicts(outcomes, excused),
+        *checks.find_false_refusals(outcomes, runs),
+        *checks.find_duplicate_runs(outcomes, runs),
     ]
     assert breaches == []
 
@@ -51,12 +51,15 @@
 def test_daemon_that_ends_under_traffic_breaks_no_answer(site, open_traffic):
     calls = open_traffic(site, seed=51)
     leaving = list(site.daemons)[0]
-    calls.start(12, traffic.Mix(SERVICES, (0.01, 0.3, 2.0), leave=0.0, patience=9.0))
+    calls.start(
+        12,
+        traffic.Mix(SERVICES, (0.01, 0.3, 2.0), abandoned_share=0.0, abandon_after=9.0),
+    )
     calls.wait_for(40, lambda one: one.verdict == "ran")
     began = time.monotonic()
     child = site.children[leaving]
     child.signal(signal.SIGTERM)
-    status = child.running.wait(STOP_LIMIT * 3)
+    status = child.popen.wait(STOP_LIMIT * 3)
     took = time.monotonic() - began
     site.daemons.pop(leaving)
     outcomes = calls.stop()
@@ -71,7 +74,7 @@
 @pytest.mark.processes
 def test_replaced_daemon_joins_and_takes_duties_over(site, open_traffic):
     calls = open_traffic(site, seed=52)
-    calls.start(6, traffic.Mix(SERVICES, pause=0.2))
+    calls.start(6, traffic.Mix(SERVICES, max_pause=0.2))
     killed = wait_for_holder(site, "duty/fleet")
     held = [key for key, holder in find_holders(site).items() if holder == killed]
     began = time.monotonic()
--- a/wigeonhitch/daemon/tests/test_documents.py
+++ b/wigeonhitch/daemon/tests/test_documents.py
@@ -11,14 +11,14 @@
 import pytest
 import yaml
 
-from standins.demo import history
+from standins.demo import checks
 
 IN_FORCE_LIMIT = 60.0  # seconds
 
 
 @pytest.fixture(scope="module")
 def site(open_site):
-    return open_site(daemons=4, relayed=True)
+    return open_site(daemons=4, uses_relay=True)
 
 
 def change_document(site, weight):
@@ -32,7 +32,7 @@
 def read_status(site, name):
     """Return a daemon's status, or None while it doesn't answer."""
     with contextlib.suppress(httpx.HTTPError):
-        answer = site.ask("GET", "/status", at=name, limit=0.5)
+        answer = site.request("GET", "/status", daemon=name, timeout=0.5)
         if answer.status_code == 200:
             return answer.json()
     return None
@@ -66,7 +66,7 @@
             shown = read_status(self.site, name)
             if shown is not None:
                 self.samples.append(
-                    history.Sample(
+                    checks.Sample(
                         time.time(), name, shown["ready"], shown["document_version"]
                     )
                 )
@@ -94,16 +94,16 @@
 def propose(site, daemon, weight, base, name):
     body = {"submission": name, "base": base}
     body["document"] = change_document(site, weight)
-    return site.ask("POST", "/proposals", body, at=daemon)
+    return site.request("POST", "/proposals", body, daemon=daemon)
 
 
 def approve(site, daemon, name, content):
     path = f"/proposals/{name}/approve"
-    return site.ask("POST", path, {"hash": content}, "ben", at=daemon)
+    return site.request("POST", path, {"hash": content}, "ben", daemon=daemon)
 
 
 def read_version(site):
-    return site.ask("GET", "/document").json()["version"]
+    return site.request("GET", "/document").json()["version"]
 
 
 @pytest.mark.processes
@@ -150,7 +150,7 @@
         watch.wait_for(stopped, base + 1)
         print(f"{stopped}: {time.monotonic() - began:.2f} s after it went on")
         site.switch(cut=[])
-    assert history.find_reverts(watch.samples) == []
+    assert checks.find_version_regressions(watch.samples) == []
 
 
 @pytest.mark.processes
@@ -169,7 +169,7 @@
         site.switch(cut=[])
         site.isolate(alone, "open")
         watch.wait_for(alone, base + 1)
-    assert history.find_reverts(watch.samples) == []
+    assert checks.find_version_regressions(watch.samples) == []
     accepted = [one.time for one in watch.samples if one.version > base][0]
     late = [
         one
--- a/wigeonhitch/daemon/tests/test_drains.py
+++ b/wigeonhitch/daemon/tests/test_drains.py
@@ -6,7 +6,7 @@
 import httpx
 import pytest
 
-from standins.demo import history, traffic
+from standins.demo import checks, traffic
 
 SERVICES = ("order-lookup", "invoice-pairing", "warehouse-receipts", "member-portal")
 WAVE_POOLS = [*SERVICES, "batch-pairing"]
@@ -20,13 +20,13 @@
 
 @pytest.fixture(scope="module")
 def site(open_site):
-    return open_site(daemons=5, relayed=True, vm_lag=1.0)
+    return open_site(daemons=5, uses_relay=True, vm_lag=1.0)
 
 
 def read_wave(site):
     for name in site.daemons:
         try:
-            answer = site.ask("GET", "/waves/monthly", at=name)
+            answer = site.request("GET", "/waves/monthly", daemon=name)
         except httpx.HTTPError:
             continue
         if answer.status_code == 200:
@@ -48,10 +48,10 @@
     """A wave, while daemons are stopped, killed and cut off in turn."""
     calls = open_traffic(site, seed=41)
     stopped, killed, cut, isolated, _ = site.daemons
-    calls.start(20, traffic.Mix(SERVICES, WORK, patience=10.0))
+    calls.start(20, traffic.Mix(SERVICES, WORK, abandon_after=10.0))
     calls.wait_for(20, lambda one: one.verdict == "ran")
     began = time.monotonic()
-    assert site.ask("POST", "/waves/monthly/start", {}).status_code == 200
+    assert site.request("POST", "/waves/monthly/start", {}).status_code == 200
     wait_for_done(site, 1)
     site.children[stopped].signal(signal.SIGSTOP)
     time.sleep(5.0)
@@ -74,14 +74,14 @@
     shown = wait_for_done(site, 9)
     outcomes = calls.stop()
     runs = site.read_logs()
-    drains = history.find_drains(site.read_history())
-    latest, late = history.find_late_work(drains, runs, LATE)
+    drains = checks.find_drains(site.read_history())
+    latest, late = checks.find_late_starts(drains, runs, LATE)
     print(f"{len(drains)} VMs stopped; last start {latest:.2f} s after a drain began")
     print(f"wave: {shown['done']} done in {time.monotonic() - began:.1f} s")
     assert len(drains) >= 9
-    assert history.find_cut_requests(runs) == []
+    assert checks.find_interrupted_requests(runs) == []
     assert late == []
-    assert history.find_wrong_answers(outcomes) == []
-    assert history.find_dishonest_refusals(outcomes, runs) == []
-    assert history.find_second_runs(outcomes, runs) == []
-    assert history.find_silent_ends(outcomes, {killed}) == []
+    assert checks.find_wrong_answers(outcomes) == []
+    assert checks.find_false_refusals(outcomes, runs) == []
+    assert checks.find_duplicate_runs(outcomes, runs) == []
+    assert checks.find_missing_verdicts(outcomes, {killed}) == []
--- a/wigeonhitch/daemon/tests/test_jobs.py
+++ b/wigeonhitch/daemon/tests/test_jobs.py
@@ -47,15 +47,15 @@
         body |= {"duration": seconds, "deadline": 600.0, "work": {"duration": seconds}}
         daemon = self.daemons[next(self.turns) % len(self.daemons)]
         self.submitted[f"{team}/{name}"] = time.time()
-        answer = self.at.ask("POST", "/jobs", body | fields, at=daemon)
+        answer = self.at.request("POST", "/jobs", body | fields, daemon=daemon)
         assert answer.status_code == 202, answer.text
 
     def show(self, name):
-        answer = self.at.ask("GET", f"/jobs/{name}", at=self.daemons[0])
+        answer = self.at.request("GET", f"/jobs/{name}", daemon=self.daemons[0])
         return answer.json()
 
     def list_states(self):
-        answer = self.at.ask("GET", "/jobs", at=self.daemons[0])
+        answer = self.at.request("GET", "/jobs", daemon=self.daemons[0])
         found = answer.json().get("jobs", ())
         return {f"{each['team']}/{each['id']}": each["state"] for each in found}
 
@@ -108,7 +108,7 @@
 def test_urgent_jobs_start_while_a_wave_drains_workers(jobs):
     rng = random.Random(6)
     wave = jobs.at.intended.waves[0].name
-    jobs.at.ask("POST", f"/waves/{wave}/start").raise_for_status()
+    jobs.at.request("POST", f"/waves/{wave}/start").raise_for_status()
     deadline = time.monotonic() + LIMIT
     urgent = []
     done = 0
@@ -116,7 +116,7 @@
         jobs.submit(f"bulk{number}", "month-end", seconds=6.0, cores=16.0)
         jobs.submit(f"urgent{number}", rng.choice(("coffee", "textile")), **URGENT)
         urgent.append(list(jobs.submitted)[-1])
-        done = jobs.at.ask("GET", f"/waves/{wave}").json().get("done", 0)
+        done = jobs.at.request("GET", f"/waves/{wave}").json().get("done", 0)
         if (done >= 10 and number >= 40) or time.monotonic() > deadline:
             break
         time.sleep(0.4)
@@ -158,7 +158,7 @@
         assert time.monotonic() < deadline
         time.sleep(0.2)
     path = "/jobs/cardamom/cancel"
-    told = jobs.at.ask("POST", path, {"jobs": names}, at=jobs.daemons[1]).json()
+    told = jobs.at.request("POST", path, {"jobs": names}, daemon=jobs.daemons[1]).json()
     assert set(told["jobs"].values()) == {"cancelled", "stopping"}
     cancelled = list(jobs.submitted)
     assert set(jobs.wait(cancelled).values()) == {"cancelled"}
--- a/wigeonhitch/daemon/tests/test_requests.py
+++ b/wigeonhitch/daemon/tests/test_requests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from standins.demo import history, traffic
+from standins.demo import checks, traffic
 
 SERVICES = ("order-lookup", "invoice-pairing", "warehouse-receipts")
 
@@ -25,10 +25,10 @@
     print(*sorted(seen.items()), sep="\n")
     runs = site.read_logs()
     breaches = [
-        *history.find_wrong_answers(outcomes),
-        *history.find_silent_ends(outcomes, excused),
-        *history.find_dishonest_refusals(outcomes, runs),
-        *history.find_second_runs(outcomes, runs),
+        *checks.find_wrong_answers(outcomes),
+        *checks.find_missing_verdicts(outcomes, excused),
+        *checks.find_false_refusals(outcomes, runs),
+        *checks.find_duplicate_runs(outcomes, runs),
     ]
     assert breaches == []
 
@@ -60,13 +60,13 @@
     site.switch_worker(late, late=0.15)
     site.switch_worker(slow, slow=4.0)
     site.switch_worker(partial, partial=True)
-    calls.start(12, traffic.Mix(SERVICES, leave=0.15, count=40))
+    calls.start(12, traffic.Mix(SERVICES, abandoned_share=0.15, max_requests=40))
     outcomes = calls.finish()
     for vm in (late, slow, partial):
         site.switch_worker(vm)
     check(site, outcomes)
     assert sum(map(is_run, outcomes)) > 200
-    assert any(one.ended == traffic.LEFT for one in outcomes)
+    assert any(one.ended == traffic.ABANDONED for one in outcomes)
     assert any(one.verdict == "may have run" for one in outcomes)
 
 
@@ -114,7 +114,7 @@
     time.sleep(1.0)
     began = time.time()
     queued = [
-        one._replace(daemon=stopped, leave=14.0)
+        one._replace(daemon=stopped, abandon_after=14.0)
         for one in make_posts(site, "16", 12, 0.05, 7.5, 1)
     ]
     waiting = calls.send(queued)
@@ -128,7 +128,9 @@
         and entry["time"] > began
         and key.startswith("claim/")
     ]
-    repeats = [one._replace(attempt=1, daemon=other, leave=0.0) for one in queued]
+    repeats = [
+        one._replace(attempt=1, daemon=other, abandon_after=0.0) for one in queued
+    ]
     during = calls.send_and_wait(repeats)
     time.sleep(PAUSE)
     site.children[stopped].signal(signal.SIGCONT)
@@ -179,7 +181,7 @@
     calls = open_traffic(site, seed=15)
     names = list(site.daemons)
     clock = Stages()
-    calls.start(9, traffic.Mix(SERVICES, patience=0.7))
+    calls.start(9, traffic.Mix(SERVICES, abandon_after=0.7))
     calls.wait_for(40, is_run)
     clock.show("quiet")
     site.switch(lose={"prefix": "/table/commit", "every": 4})
--- a/wigeonhitch/daemon/tests/test_tls.py
+++ b/wigeonhitch/daemon/tests/test_tls.py
@@ -18,8 +18,8 @@
         folder = tmp_path_factory.mktemp("tls")
         options = site.Options(daemons=2, tls=True)
         made = site.open_site(stack, folder, process.Ports(), EXAMPLE, options)
-        made.put_in_force()
-        made.wait_until_heard()
+        made.activate_document()
+        made.wait_until_vms_known()
         yield made
 
 
@@ -36,7 +36,7 @@
 @pytest.mark.processes
 def test_daemons_hear_each_other_by_mutual_tls(secured):
     for name in secured.daemons:
-        status = secured.ask("GET", "/status", at=name).json()
+        status = secured.request("GET", "/status", daemon=name).json()
         assert status["alive"] == sorted(secured.daemons)
 
 
--- a/wigeonhitch/daemon/tests/test_traces.py
+++ b/wigeonhitch/daemon/tests/test_traces.py
@@ -20,8 +20,8 @@
         settings = {"traces": {"exporter": "console"}}
         options = site.Options(daemons=2, settings=settings)
         made = site.open_site(stack, tmp_path, process.Ports(), EXAMPLE, options)
-        made.put_in_force()
-        made.wait_until_heard()
+        made.activate_document()
+        made.wait_until_vms_known()
         yield made
 
 
--- a/wigeonhitch/leadership/tests/test_claims.py
+++ b/wigeonhitch/leadership/tests/test_claims.py
@@ -29,12 +29,12 @@
         group.start_soon(elector._follow_owners)
         await anyio.sleep(0.05)
         await elector._claim("p")
-        store.apply_late()
+        store.apply_deferred()
         await anyio.sleep(0.05)
         group.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("fault", ["", "loses", "holds_back"])
+@pytest.mark.parametrize("fault", ["", "lost_answers", "deferred_commits"])
 async def test_claim_starts_leading_once_whenever_its_write_is_applied(
     store, recording_elector, fault
 ):
@@ -52,7 +52,7 @@
 
 async def test_late_claim_is_not_led_by_leaving_daemon(store, recording_elector):
     store.put("other", "", "k", b"")
-    store.holds_back = 1
+    store.deferred_commits = 1
     recording_elector[0].leadership.leaving = True
 
     await run_claim(store, recording_elector)
@@ -132,7 +132,7 @@
     assert events == [("led", 2)]
 
 
-@pytest.mark.parametrize("fault", ["", "loses"])
+@pytest.mark.parametrize("fault", ["", "lost_answers"])
 async def test_claim_from_before_lapse_is_not_led_if_answered_after_it(
     store, lapsed_elector, fault
 ):
@@ -177,7 +177,7 @@
     return elector._claim("p")
 
 
-@pytest.mark.parametrize("fault", ["", "loses"])
+@pytest.mark.parametrize("fault", ["", "lost_answers"])
 async def test_claim_applied_before_end_of_lapse_is_not_led_after_it(
     store, lapsed_elector, fault
 ):
--- a/wigeonhitch/leadership/tests/test_task.py
+++ b/wigeonhitch/leadership/tests/test_task.py
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.mark.parametrize("fault", ["is_down", "holds_back", "loses"])
+@pytest.mark.parametrize("fault", ["is_down", "deferred_commits", "lost_answers"])
 async def test_pool_is_given_up_whatever_becomes_of_first_write(store, elector, fault):
     """Otherwise its row names a live daemon that doesn't lead it, for ever."""
     setattr(store, fault, 1)
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -10,8 +10,8 @@
 import random
 from typing import Any, NamedTuple
 
-from standins import history as runs
 from standins import siteworker
+from standins import taskhistory as runs
 from wigeonhitch.jobs import model, record
 from wigeonhitch.leadership import record as leader_record
 from wigeonhitch.platform import entries, rows, table, workers
@@ -225,7 +225,7 @@
         drift = self.rng.choice((0.0, 0.02))
         share = self.rng.choice((0.0, 0.1))
         return siteworker.Worker(
-            f"w{number}", self.events, self.rng, drift=drift, fail_share=share
+            f"w{number}", self.events, self.rng, drift=drift, failure_rate=share
         )
 
     def run(self, seconds: float) -> None:
@@ -388,7 +388,7 @@
 
 def check(events: list[siteworker.Event]) -> list[str]:
     """Return the faults in a history, one line each."""
-    return runs.check_runs(events, lambda task: STEP_CPU[task.step], ROOM.cpu)
+    return runs.check_task_runs(events, lambda task: STEP_CPU[task.step], ROOM.cpu)
 
 
 def find_unfinished(world: World) -> list[str]:
--- a/wigeonhitch/pool/tests/test_history.py
+++ b/wigeonhitch/pool/tests/test_history.py
@@ -22,7 +22,7 @@
     world = simulate(seed)
 
     assert history.check(world.events) == []
-    assert sum(1 for event in world.events if event.how == "done") > 10
+    assert sum(1 for event in world.events if event.outcome == "done") > 10
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/wigeonhitch/pool/tests/test_ledger.py
+++ b/wigeonhitch/pool/tests/test_ledger.py
@@ -207,13 +207,13 @@
     stored_ledger.add_vm("w1", "w1:1")
     await commit(stored_ledger, store)
     stored_ledger.remove_vm("w1")
-    store.holds_back = 1
+    store.deferred_commits = 1
     await commit(stored_ledger, store)
     await commit(stored_ledger, store)
     stored_ledger.add_vm("w1", "w1:1")
     assert (await commit(stored_ledger, store)).done
 
-    store.apply_late()
+    store.apply_deferred()
 
     assert store.get(*ROSTER) is not None
 
@@ -251,7 +251,7 @@
 @pytest.mark.anyio
 async def test_unanswered_addition_is_written_again(stored_ledger, store):
     stored_ledger.add_vm("w1", "w1:1")
-    store.loses = 1
+    store.lost_answers = 1
     await commit(stored_ledger, store)
 
     assert not (await commit(stored_ledger, store)).done
@@ -266,7 +266,7 @@
     stored_ledger.add_vm("w1", "w1:1")
     await commit(stored_ledger, store)
     stored_ledger.remove_vm("w1")
-    store.loses = 1
+    store.lost_answers = 1
     await commit(stored_ledger, store)
 
     await commit(stored_ledger, store)
@@ -280,7 +280,7 @@
     stored_ledger.add_vm("w1", "w1:1")
     await commit(stored_ledger, store)
     stored_ledger.remove_vm("w1")
-    store.loses = 1
+    store.lost_answers = 1
     await commit(stored_ledger, store)
     stored_ledger.add_vm("w1", "w1:1")
 
@@ -300,7 +300,7 @@
     stored_ledger.remove_vm("w1")
     stored_ledger.add_vm("w2", "w2:1")
     stored_ledger.mark_dirty("j")
-    store.loses = 1
+    store.lost_answers = 1
     batch = collect(stored_ledger, jobs)
     stored_ledger.on_result(batch, await store.commit(batch.transaction, timeout=1.0))
 
@@ -322,7 +322,7 @@
     await commit(stored_ledger, store)
     for id in ("w1", "w2"):
         stored_ledger.remove_vm(id)
-    store.loses = 1
+    store.lost_answers = 1
     await commit(stored_ledger, store)
 
     await commit(stored_ledger, store)
@@ -364,7 +364,7 @@
     stored_ledger.add_vm("w1", "w1:1")
     await commit(stored_ledger, store)
     stored_ledger.remove_vm("w1")
-    store.loses = 1
+    store.lost_answers = 1
     await commit(stored_ledger, store)
     stored_ledger.add_vm("w1", "w1:1")
     batch = collect(stored_ledger, {})
--- a/wigeonhitch/site/tests/conftest.py
+++ b/wigeonhitch/site/tests/conftest.py
@@ -24,7 +24,7 @@
 
     def add(self, id):
         self.workers[id] = siteworker.Worker(
-            id, self.events, random.Random(1), work=0.2
+            id, self.events, random.Random(1), max_work_seconds=0.2
         )
 
     async def run(self):
@@ -232,7 +232,7 @@
                     await anyio.sleep(0.05)
 
     def count_starts(self):
-        return sum(1 for event in self.calls.events if event.what == "start")
+        return sum(1 for event in self.calls.events if event.kind == "start")
 
 
 @pytest.fixture
--- a/wigeonhitch/site/tests/test_daemon.py
+++ b/wigeonhitch/site/tests/test_daemon.py
@@ -33,7 +33,7 @@
         site.kill(leader)
         await site.wait_until(other, [f"j{number}" for number in range(4)])
 
-    starts = [event.task for event in site.calls.events if event.what == "start"]
+    starts = [event.task for event in site.calls.events if event.kind == "start"]
     assert len(starts) == len(set(starts))
 
 
--- a/wigeonhitch/site/tests/test_desk.py
+++ b/wigeonhitch/site/tests/test_desk.py
@@ -107,7 +107,7 @@
 
 
 async def test_a_lost_answer_is_resolved_by_the_row(site):
-    site.store.loses = 1
+    site.store.lost_answers = 1
 
     answer = await site.handler.submit(QUEUE, JOB)
 
@@ -115,10 +115,10 @@
 
 
 async def test_a_job_that_may_still_be_written_is_never_reported_not_run(site):
-    site.store.holds_back = 99
+    site.store.deferred_commits = 99
 
     answer = await site.handler.submit(QUEUE, JOB)
-    site.store.apply_late()
+    site.store.apply_deferred()
 
     assert answer.verdict is message.Verdict.UNKNOWN
     assert site.store.get(TABLE, PART, "j") is not None
@@ -419,12 +419,12 @@
     site, make_moved_handler
 ):
     """The same, caused by an unanswered write that is applied after the read."""
-    site.store.holds_back = 1000
+    site.store.deferred_commits = 1000
     await site.handler.submit(QUEUE, JOB)
-    site.store.holds_back = 0
+    site.store.deferred_commits = 0
     await make_moved_handler("p", "other").submit(MOVED_QUEUE, JOB)
 
-    site.store.apply_late()
+    site.store.apply_deferred()
 
     assert len(list_accepting_pools(site.store)) == 1
 
@@ -433,12 +433,12 @@
     site, make_moved_handler
 ):
     await site.handler.submit(QUEUE, JOB._replace(id="first"))
-    site.store.holds_back = 1000
+    site.store.deferred_commits = 1000
     await site.handler.submit(QUEUE, JOB)
-    site.store.holds_back = 0
+    site.store.deferred_commits = 0
     answer = await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
-    site.store.apply_late()
+    site.store.apply_deferred()
 
     assert answer.verdict is message.Verdict.ACCEPTED
     assert list_accepting_pools(site.store) == ["other"]
@@ -453,16 +453,16 @@
     The marker of an accepted job was written to the 30 newest former pools only.
     """
     await site.handler.submit(QUEUE, JOB._replace(id="first"))
-    site.store.holds_back = 1000
+    site.store.deferred_commits = 1000
     await site.handler.submit(QUEUE, JOB)
-    site.store.holds_back = 0
+    site.store.deferred_commits = 0
     for number in range(moves):
         pool = f"p{number}"
         other = JOB._replace(id=pool)
         await make_moved_handler(pool).submit(QUEUE._replace(pool=pool), other)
     answer = await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
-    site.store.apply_late()
+    site.store.apply_deferred()
 
     assert answer.verdict is message.Verdict.ACCEPTED
     assert list_accepting_pools(site.store) == ["other"]
@@ -489,13 +489,13 @@
     The marker in former pools needed a transaction over several parts and was left out
     on a store that doesn't support it.
     """
-    site.store.is_across = False
-    site.store.holds_back = late
+    site.store.allows_cross_part = False
+    site.store.deferred_commits = late
     await site.handler.submit(QUEUE, JOB)
-    site.store.holds_back = 0
+    site.store.deferred_commits = 0
     answer = await make_moved_handler("other").submit(MOVED_QUEUE, JOB)
 
-    site.store.apply_late()
+    site.store.apply_deferred()
 
     assert answer.verdict is message.Verdict.ACCEPTED
     assert len(list_accepting_pools(site.store)) == 1
--- a/wigeonhitch/site/tests/test_story.py
+++ b/wigeonhitch/site/tests/test_story.py
@@ -64,7 +64,7 @@
 
 async def test_a_failed_job_is_traced_to_the_task_that_failed_each_time(site, output):
     for worker in site.calls.workers.values():
-        worker.choose_end = lambda order: (0.05, model.End.FAILED)
+        worker.draw_end = lambda order: (0.05, model.End.FAILED)
     async with site.run("a") as (daemon,):
         await site.submit(daemon, "j0")
         await site.wait_until(daemon, ["j0"], model.JobState.FAILED)
--- a/wigeonhitch/site/tests/test_two_leaders.py
+++ b/wigeonhitch/site/tests/test_two_leaders.py
@@ -15,7 +15,7 @@
 import anyio
 import pytest
 
-from standins import history
+from standins import taskhistory
 from wigeonhitch.jobs import model
 from wigeonhitch.jobs import record as jobs
 from wigeonhitch.leadership import core, record
@@ -34,7 +34,7 @@
 
 def find_violations(site):
     """Return the violations in the runs that the workers recorded."""
-    return history.check_runs(site.calls.events, lambda _: 1000, 8000)
+    return taskhistory.check_task_runs(site.calls.events, lambda _: 1000, 8000)
 
 
 async def prepare_pair(daemons, site):
@@ -48,7 +48,9 @@
     await anyio.sleep(core.CLAIM_STARTUP_DELAY_SECONDS + 0.5)
     site.reachability[other.settings.name].unreachable.add("w1")
     site.reachability[leader.settings.name].unreachable.add("w2")
-    site.links[leader.settings.name].slow[record.OWNER_TABLE] = CLAIM_FEED_DELAY_SECONDS
+    site.links[leader.settings.name].read_delays[record.OWNER_TABLE] = (
+        CLAIM_FEED_DELAY_SECONDS
+    )
     return leader, other
 
 
@@ -79,7 +81,7 @@
     """Delay the leader's renewals on their way to the other; then submit a job."""
     async with site.run("ab") as daemons:
         leader, other = await prepare_pair(daemons, site)
-        site.links[other.settings.name].slow[record.MEMBER_TABLE] = (
+        site.links[other.settings.name].read_delays[record.MEMBER_TABLE] = (
             RENEWAL_DELAY_SECONDS
         )
         with anyio.move_on_after(6.0):
--- a/wigeonhitch/tests/test_feed.py
+++ b/wigeonhitch/tests/test_feed.py
@@ -69,7 +69,7 @@
     reader.store.is_down = True
     await anyio.sleep(0.1)
     reader.store.put("t", "a", "k", b"2")
-    reader.store.forget_history()
+    reader.store.expire_history()
     reader.store.is_down = False
 
     await wait_for(lambda: reader.reads == 2)
