--- a/standins/soak/main.py
+++ b/standins/soak/main.py
@@ -153,7 +153,7 @@
             len(seen.jobs),
             len(seen.calls),
             sum(1 for call in seen.calls if call.status in (429, 503)),
-            sum(1 for event in site.vm_fleet.events if event.what == "start"),
+            sum(1 for event in site.vm_fleet.events if event.kind == "start"),
             seen.spans,
         )
 
