--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and workers; no part of the daemon."""
+"""Stand-ins for the platform and its workers, for tests and demos only."""
--- a/standins/demo/audit.py
+++ b/standins/demo/audit.py
@@ -1,7 +1,7 @@
 """Checks of a finished run against the ground truth.
 
-The truth is what the workers logged and what the platform's table recorded;
-nothing that a daemon says of itself counts.
+The ground truth is the workers' logs and the history of the platform's table;
+reports of the daemons about themselves aren't used.
 """
 
 import collections
@@ -12,28 +12,28 @@
 from wigeonhitch.configuration import document
 from wigeonhitch.fleet import budget
 
-__all__ = ["Findings", "audit", "find_broken_budgets", "measure_rollout"]
+__all__ = ["Findings", "audit", "find_budget_violations", "measure_rollout"]
 
 
 class Findings(NamedTuple):
-    """Counts; every one from ``run_twice`` on must be 0.
+    """Counts of one run; ``run_twice`` and all fields after it must be 0.
 
     Parameters
     ----------
     answered, refused, uncertain : int
-        Callers who got a worker's answer, "not run", and "may have run".
+        Callers that got a worker's answer, "not run", and "may have run".
     unanswered : int
-        Callers who got no answer of a daemon at all.
+        Callers that got no answer from any daemon.
     run_twice : int
         Keyed requests that ran more than once.
     not_run_but_ran : int
-        Requests whose every sender was told "not run" and that ran.
-    not_whole : int
-        Answers that were not the whole answer to the caller's own request.
-    cut_off : int
-        Requests in progress that a planned stop cut off.
-    broken_budgets : int
-        Commits of planned stops that left a pool under its budget.
+        Requests that ran although all their callers were told "not run".
+    incomplete : int
+        Answers that were truncated or belong to another request.
+    interrupted : int
+        Requests that a planned stop interrupted.
+    budget_violations : int
+        Commits whose planned stops left a pool below its budget.
     """
 
     answered: int
@@ -42,13 +42,13 @@
     unanswered: int
     run_twice: int
     not_run_but_ran: int
-    not_whole: int
-    cut_off: int
-    broken_budgets: int
+    incomplete: int
+    interrupted: int
+    budget_violations: int
 
     @property
     def is_clean(self) -> bool:
-        """Whether nothing happened that must never happen."""
+        """Whether the run violated no guarantee."""
         return not any(self[4:])
 
 
@@ -58,39 +58,45 @@
     history: Sequence[Mapping[str, Any]],
     intended: document.Document,
 ) -> Findings:
-    """Compare what callers were told with what truly happened."""
-    verdicts = collections.Counter(one.verdict for one in outcomes)
-    ran = collections.Counter(run["key"] for run in runs)
-    keyed = {one.caller for one in outcomes if one.keyed}
-    told: dict[str, set[str]] = collections.defaultdict(set)
-    for one in outcomes:
-        told[one.caller].add(one.verdict)
+    """Compare the callers' outcomes with the workers' logs and the table history."""
+    verdicts = collections.Counter(outcome.verdict for outcome in outcomes)
+    run_counts = collections.Counter(run["key"] for run in runs)
+    keyed = {outcome.caller for outcome in outcomes if outcome.keyed}
+    verdicts_by_caller: dict[str, set[str]] = collections.defaultdict(set)
+    for outcome in outcomes:
+        verdicts_by_caller[outcome.caller].add(outcome.verdict)
     return Findings(
         answered=verdicts["ran"],
         refused=verdicts["not run"],
         uncertain=verdicts["may have run"],
         unanswered=verdicts[""],
-        run_twice=sum(1 for name in keyed if ran[name] > 1),
+        run_twice=sum(1 for name in keyed if run_counts[name] > 1),
         not_run_but_ran=sum(
-            1 for name, heard in told.items() if heard == {"not run"} and ran[name]
+            1
+            for name, received in verdicts_by_caller.items()
+            if received == {"not run"} and run_counts[name]
         ),
-        not_whole=sum(1 for one in outcomes if one.status == 200 and not one.whole),
-        cut_off=sum(1 for run in runs if run["outcome"] == "cut off"),
-        broken_budgets=len(find_broken_budgets(history, intended)),
+        incomplete=sum(
+            1
+            for outcome in outcomes
+            if outcome.status == 200 and not outcome.is_complete
+        ),
+        interrupted=sum(1 for run in runs if run["outcome"] == "cut off"),
+        budget_violations=len(find_budget_violations(history, intended)),
     )
 
 
-def find_broken_budgets(
+def find_budget_violations(
     history: Iterable[Mapping[str, Any]], intended: document.Document
 ) -> list[str]:
-    """Return the commits after which planned stops leave a pool too small.
+    """Return the commits after which planned stops leave a pool below its budget.
 
-    A VM counts as stopped while its row says anything but ``up``. Unplanned
-    losses are not in the rows; the runner's own tests count those.
+    A VM counts as stopped unless its row is in the state ``up``. Unplanned losses
+    aren't recorded in the rows; the tests of the fleet's runner cover them.
     """
     pools = {pool.name: pool for pool in intended.pools}
     rows: dict[str, Mapping[str, Any]] = {}
-    broken = []
+    violations = []
     for commit in history:
         changed = set()
         for key, value in commit["writes"]:
@@ -102,8 +108,8 @@
             up = sum(1 for row in members if row["state"] == "up")
             required = budget.required(pools[name])
             if up < required and up < len(members):
-                broken.append(f"revision {commit['revision']}: {name} has {up} up")
-    return broken
+                violations.append(f"revision {commit['revision']}: {name} has {up} up")
+    return violations
 
 
 def measure_rollout(history: Iterable[Mapping[str, Any]]) -> float:
--- a/standins/demo/caller.py
+++ b/standins/demo/caller.py
@@ -15,36 +15,36 @@
 
 
 class Load(NamedTuple):
-    """What callers send.
+    """Parameters of the callers' requests.
 
     Parameters
     ----------
     rate : float
-        Requests a second over all daemons.
-    work : float
-        Mean seconds of work of a request.
-    share_keyed : float
-        Share that is non-idempotent and carries an idempotency key.
-    share_repeated : float
-        Share of the keyed ones that are sent again at another daemon at once.
+        Requests per second over all daemons.
+    mean_work : float
+        Mean duration of a request's work, in seconds.
+    keyed_share : float
+        Share of requests that aren't idempotent and carry an idempotency key.
+    duplicate_share : float
+        Share of keyed requests that are sent twice at the same time.
     deadline : float
-        Seconds that callers give their requests.
+        Deadline of each request, in seconds.
     seed : int
     """
 
     rate: float = 40.0
-    work: float = 0.03
-    share_keyed: float = 0.4
-    share_repeated: float = 0.1
+    mean_work: float = 0.03
+    keyed_share: float = 0.4
+    duplicate_share: float = 0.1
     deadline: float = 10.0
     seed: int = 1
 
 
 class Outcome(NamedTuple):
-    """What one caller got.
+    """Outcome of one request as its caller saw it.
 
-    ``caller`` names the request; all repeats of a keyed request share it.
-    ``verdict`` is empty when no answer came at all.
+    ``caller`` identifies the request; duplicates of a keyed request share it.
+    ``verdict`` is empty if no answer arrived.
     """
 
     caller: str
@@ -53,7 +53,7 @@
     status: int
     verdict: str
     reason: str
-    whole: bool
+    is_complete: bool
     seconds: float
 
 
@@ -72,7 +72,7 @@
     body = json.dumps({"of": request.caller}).encode()
     if request.keyed:
         headers["idempotency-key"] = request.caller
-    began = time.monotonic()
+    started = time.monotonic()
     try:
         answer = await client.request(
             "POST" if request.keyed else "GET",
@@ -82,16 +82,16 @@
             timeout=deadline + 5,
         )
     except httpx.HTTPError as error:
-        took = time.monotonic() - began
+        elapsed = time.monotonic() - started
         name = type(error).__name__
         return Outcome(
-            request.caller, request.service, request.keyed, 0, "", name, False, took
+            request.caller, request.service, request.keyed, 0, "", name, False, elapsed
         )
-    whole = False
+    is_complete = False
     if answer.status_code == 200:
-        given = answer.json()
-        whole = given["caller"] == request.caller and (
-            not request.keyed or given["echo"] == body.decode()
+        echoed = answer.json()
+        is_complete = echoed["caller"] == request.caller and (
+            not request.keyed or echoed["echo"] == body.decode()
         )
     return Outcome(
         request.caller,
@@ -100,15 +100,17 @@
         answer.status_code,
         answer.headers.get(reply.VERDICT_HEADER, ""),
         answer.headers.get(reply.REASON_HEADER, ""),
-        whole,
-        time.monotonic() - began,
+        is_complete,
+        time.monotonic() - started,
     )
 
 
-async def send_load(at: site.Site, load: Load, stopped: anyio.Event) -> list[Outcome]:
+async def send_load(
+    target: site.Site, load: Load, stopped: anyio.Event
+) -> list[Outcome]:
     """Send requests at the load's rate until ``stopped``; return all outcomes."""
     rng = random.Random(load.seed)
-    services = [one.name for one in at.intended.services]
+    services = [service.name for service in target.intended.services]
     outcomes: list[Outcome] = []
 
     async def run(client: httpx.AsyncClient, url: str, request: _Request) -> None:
@@ -118,18 +120,21 @@
         httpx.AsyncClient(trust_env=False) as client,
         anyio.create_task_group() as group,
     ):
-        number = 0
+        request_count = 0
         while not stopped.is_set():
-            number += 1
+            request_count += 1
             request = _Request(
-                f"{load.seed}-{number}",
+                f"{load.seed}-{request_count}",
                 rng.choice(services),
-                rng.random() < load.share_keyed,
-                rng.expovariate(1 / load.work),
+                rng.random() < load.keyed_share,
+                rng.expovariate(1 / load.mean_work),
             )
-            urls = [f"http://127.0.0.1:{one.callers}" for one in at.daemons.values()]
+            urls = [
+                f"http://127.0.0.1:{daemon.callers}"
+                for daemon in target.daemons.values()
+            ]
             group.start_soon(run, client, rng.choice(urls), request)
-            if request.keyed and rng.random() < load.share_repeated:
+            if request.keyed and rng.random() < load.duplicate_share:
                 group.start_soon(run, client, rng.choice(urls), request)
             await anyio.sleep(rng.expovariate(load.rate))
     return outcomes
--- a/standins/demo/checks.py
+++ b/standins/demo/checks.py
@@ -1,6 +1,6 @@
-"""Checkers of a run: what callers saw against what the workers truly ran.
+"""Checks of the callers' outcomes against the workers' logs.
 
-Pure functions; each returns a line of text for every breach it finds.
+Pure functions; each returns one line of text for every violation.
 """
 
 import collections
@@ -26,15 +26,15 @@
 
 
 class Drain(NamedTuple):
-    """A VM's row from ``draining`` until it asks for the reboot (epoch s)."""
+    """Drain of a VM: start, and request of the reboot (seconds since the epoch)."""
 
     vm: str
-    began: float
+    started: float
     rebooted: float
 
 
 class Sample(NamedTuple):
-    """Readiness and version in force of a daemon at a time (s)."""
+    """Readiness and active version of a daemon at a time in seconds."""
 
     time: float
     daemon: str
@@ -43,62 +43,71 @@
 
 
 def find_wrong_answers(outcomes: Iterable[traffic.Outcome]) -> list[str]:
-    """Find answers that are not the whole answer to the caller's own request."""
-    found = []
-    for one in outcomes:
-        if one.verdict != "ran" or one.status >= 500:
+    """Find answers that are truncated or belong to another request."""
+    violations = []
+    for outcome in outcomes:
+        if outcome.verdict != "ran" or outcome.status >= 500:
             continue
-        echo, caller = one.answer.get("echo"), str(one.answer.get("caller", ""))
-        is_own = caller == one.sent.name
-        if one.reason == "kept answer of an earlier request":
-            is_own = caller.rpartition("/")[0] == one.sent.request
-        expected = one.sent.body
+        echo, caller = outcome.answer.get("echo"), str(outcome.answer.get("caller", ""))
+        is_own = caller == outcome.sent.name
+        if outcome.reason == "kept answer of an earlier request":
+            is_own = caller.rpartition("/")[0] == outcome.sent.request
+        expected = outcome.sent.body
         if echo != expected or not is_own:
-            found.append(f"{one.sent.name}: got {dict(one.answer)}")
-    return found
+            violations.append(f"{outcome.sent.name}: got {dict(outcome.answer)}")
+    return violations
 
 
 def find_missing_verdicts(
-    outcomes: Iterable[traffic.Outcome], excused: Collection[str] = ()
+    outcomes: Iterable[traffic.Outcome], killed_daemons: Collection[str] = ()
 ) -> list[str]:
-    """Find answers without a verdict, and connections broken by a daemon.
+    """Find answers without a verdict, and connections that a daemon broke.
 
     Parameters
     ----------
     outcomes : iterable of traffic.Outcome
-    excused : collection of str
-        Daemons that were killed.
+    killed_daemons : collection of str
+        Names of the daemons that were killed; their connections may break.
     """
-    found = []
-    for one in outcomes:
-        is_broken = one.ended == traffic.BROKEN and one.sent.daemon not in excused
-        is_mute = one.ended == traffic.ANSWERED and one.verdict not in (
+    violations = []
+    for outcome in outcomes:
+        is_broken = (
+            outcome.ended == traffic.BROKEN
+            and outcome.sent.daemon not in killed_daemons
+        )
+        lacks_verdict = outcome.ended == traffic.ANSWERED and outcome.verdict not in (
             "ran",
             "not run",
             "may have run",
         )
-        if is_broken or is_mute:
-            found.append(f"{one.sent.name}: {one.ended} {one.status} {one.verdict!r}")
-    return found
+        if is_broken or lacks_verdict:
+            violations.append(
+                f"{outcome.sent.name}: {outcome.ended} {outcome.status} "
+                f"{outcome.verdict!r}"
+            )
+    return violations
 
 
 def find_false_refusals(
     outcomes: Iterable[traffic.Outcome], runs: Iterable[Run]
 ) -> list[str]:
-    """Find attempts that heard "not run" and ran."""
+    """Find attempts that ran although their caller was told "not run"."""
     ran = {run["key"]: run for run in runs}
     return [
-        f"{one.sent.name}: not run ({one.reason}), yet ran on {ran[one.sent.name]}"
-        for one in outcomes
-        if one.verdict == "not run" and one.sent.name in ran
+        f"{outcome.sent.name}: not run ({outcome.reason}), "
+        f"yet ran on {ran[outcome.sent.name]}"
+        for outcome in outcomes
+        if outcome.verdict == "not run" and outcome.sent.name in ran
     ]
 
 
 def find_duplicate_runs(
     outcomes: Iterable[traffic.Outcome], runs: Iterable[Run]
 ) -> list[str]:
-    """Find requests that are not idempotent and ran more than once."""
-    posted = {one.sent.request for one in outcomes if one.sent.method == "POST"}
+    """Find non-idempotent requests that ran more than once."""
+    posted = {
+        outcome.sent.request for outcome in outcomes if outcome.sent.method == "POST"
+    }
     counts: dict[str, list[str]] = collections.defaultdict(list)
     for run in runs:
         request, _, attempt = run["key"].rpartition("/")
@@ -111,7 +120,7 @@
 
 
 def find_interrupted_requests(runs: Iterable[Run]) -> list[str]:
-    """Find requests that a reboot cut off."""
+    """Find requests that a reboot interrupted."""
     return [
         f"{run['key']} cut off on {run['worker']}"
         for run in runs
@@ -121,55 +130,55 @@
 
 def find_drains(history: Iterable[Mapping[str, Any]]) -> list[Drain]:
     """Return the drains in the platform's table history, in order."""
-    began: dict[str, float] = {}
-    found = []
-    for entry in history:
-        for key, value in entry["writes"]:
+    started: dict[str, float] = {}
+    drains = []
+    for commit in history:
+        for key, value in commit["writes"]:
             vm = key.removeprefix("vm/")
             if vm == key or value is None:
                 continue
             if value["state"] == "draining":
-                began.setdefault(vm, entry["time"])
-            elif value["state"] == "rebooting" and vm in began:
-                found.append(Drain(vm, began.pop(vm), entry["time"]))
+                started.setdefault(vm, commit["time"])
+            elif value["state"] == "rebooting" and vm in started:
+                drains.append(Drain(vm, started.pop(vm), commit["time"]))
             elif value["state"] == "up":
-                began.pop(vm, None)
-    return found
+                started.pop(vm, None)
+    return drains
 
 
 def find_late_starts(
-    drains: Sequence[Drain], runs: Iterable[Run], limit: float
+    drains: Sequence[Drain], runs: Iterable[Run], max_delay: float
 ) -> tuple[float, list[str]]:
-    """Return the latest start of work after a drain began, and those too late.
+    """Return the largest delay of a start after its VM's drain began, and late starts.
 
     Parameters
     ----------
     drains : sequence of Drain
     runs : iterable of mapping
-    limit : float
-        Seconds after the drain's beginning in which work may still start.
+    max_delay : float
+        Seconds after the beginning of a drain in which requests may still start.
     """
     latest = 0.0
-    found = []
+    violations = []
     for run in runs:
         for drain in drains:
             if run["worker"] != drain.vm:
                 continue
-            after = run["started"] - drain.began
-            if 0 < after < drain.rebooted - drain.began:
-                latest = max(latest, after)
-                if after > limit:
-                    found.append(f"{run['key']} on {drain.vm} {after:.2f} s after")
-    return latest, found
+            delay = run["started"] - drain.started
+            if 0 < delay < drain.rebooted - drain.started:
+                latest = max(latest, delay)
+                if delay > max_delay:
+                    violations.append(f"{run['key']} on {drain.vm} {delay:.2f} s after")
+    return latest, violations
 
 
 def find_version_regressions(samples: Iterable[Sample]) -> list[str]:
-    """Find daemons that went back, and ready ones older than one seen ready."""
+    """Find ready daemons whose version is older than when they were ready before."""
     highest: dict[str, int] = {}
-    found = []
-    for one in sorted(samples):
-        if one.is_ready and one.version < highest.get(one.daemon, 0):
-            found.append(f"{one.daemon} went back to {one.version}")
-        if one.is_ready:
-            highest[one.daemon] = max(one.version, highest.get(one.daemon, 0))
-    return found
+    violations = []
+    for sample in sorted(samples):
+        if sample.is_ready and sample.version < highest.get(sample.daemon, 0):
+            violations.append(f"{sample.daemon} went back to {sample.version}")
+        if sample.is_ready:
+            highest[sample.daemon] = max(sample.version, highest.get(sample.daemon, 0))
+    return violations
--- a/standins/demo/fault.py
+++ b/standins/demo/fault.py
@@ -1,7 +1,7 @@
-"""Faults brought about during a run: seeded, one after another.
+"""Fault injection during a demo run: seeded, one fault after another.
 
-Each step names what it does and undoes it before the next begins, so that a
-run's output tells which fault a finding belongs to.
+Each step is undone before the next one begins and is named in the run's output,
+so that a finding can be attributed to a fault.
 """
 
 import random
@@ -14,77 +14,77 @@
 
 __all__ = ["Step", "make_steps", "run_steps"]
 
-PAUSE = 2.0  # seconds between steps
+STEP_PAUSE_SECONDS = 2.0
 
 
 class Step(NamedTuple):
-    """One fault: what to do, and how long it lasts (seconds)."""
+    """One fault: how to inject and undo it, and its duration in seconds."""
 
     name: str
     begin: Callable[[], None]
     end: Callable[[], None]
-    lasts: float
+    duration: float
 
 
-def make_steps(at: site.Site, seed: int) -> list[Step]:
-    """Return the faults of a run in an order drawn from ``seed``."""
+def make_steps(target: site.Site, seed: int) -> list[Step]:
+    """Return the faults of a run in an order drawn from the seed."""
     rng = random.Random(seed)
-    names = list(at.daemons)
+    names = list(target.daemons)
     paused, cut, killed = rng.sample(names, 3)
-    slow, frozen, broken = rng.sample(sorted(at.workers), 3)
+    slow, frozen, broken = rng.sample(sorted(target.workers), 3)
     steps = [
         Step(
             "platform down",
-            lambda: at.switch(down=True),
-            lambda: at.switch(down=False),
+            lambda: target.switch(down=True),
+            lambda: target.switch(down=False),
             5.0,
         ),
         Step(
             "platform's answers lost after the write",
-            lambda: at.switch(lose={"prefix": "/table/commit", "every": 3}),
-            lambda: at.switch(lose={"next": 0}),
+            lambda: target.switch(lose={"prefix": "/table/commit", "every": 3}),
+            lambda: target.switch(lose={"next": 0}),
             5.0,
         ),
         Step(
             f"{paused} paused",
-            lambda: at.children[paused].signal(signal.SIGSTOP),
-            lambda: at.children[paused].signal(signal.SIGCONT),
+            lambda: target.children[paused].signal(signal.SIGSTOP),
+            lambda: target.children[paused].signal(signal.SIGCONT),
             20.0,
         ),
         Step(
             f"{cut} cut off from the platform",
-            lambda: at.switch(cut=[cut]),
-            lambda: at.switch(cut=[]),
+            lambda: target.switch(cut=[cut]),
+            lambda: target.switch(cut=[]),
             12.0,
         ),
         Step(
             f"{slow} slow, {frozen} frozen, {broken} breaks its answers",
-            lambda: _trouble(at, slow, frozen, broken),
-            lambda: _trouble(at, slow, frozen, broken, over=True),
+            lambda: _set_worker_faults(target, slow, frozen, broken),
+            lambda: _set_worker_faults(target, slow, frozen, broken, undo=True),
             6.0,
         ),
     ]
     rng.shuffle(steps)
     kill = Step(
         f"{killed} killed and replaced",
-        lambda: _kill(at, killed),
-        lambda: _replace(at, killed),
+        lambda: _kill(target, killed),
+        lambda: _replace(target, killed),
         1.0,
     )
     return [*steps, kill]
 
 
 def run_steps(
-    steps: list[Step], tell: Callable[[str], None], is_over: Callable[[], bool]
+    steps: list[Step], report: Callable[[str], None], is_over: Callable[[], bool]
 ) -> None:
-    """Bring the faults about; each is undone, also when the run is over."""
+    """Inject the faults; each one is undone, also if the run ends meanwhile."""
     for step in steps:
-        _sleep(PAUSE, is_over)
+        _sleep(STEP_PAUSE_SECONDS, is_over)
         if is_over():
             return
-        tell(step.name)
+        report(step.name)
         step.begin()
-        _sleep(step.lasts, is_over)
+        _sleep(step.duration, is_over)
         step.end()
 
 
@@ -94,20 +94,20 @@
         time.sleep(0.1)
 
 
-def _trouble(
-    at: site.Site, slow: str, frozen: str, broken: str, over: bool = False
+def _set_worker_faults(
+    target: site.Site, slow: str, frozen: str, broken: str, undo: bool = False
 ) -> None:
-    at.switch_worker(slow, slow=1.0 if over else 10.0)
-    at.switch_worker(frozen, frozen=not over)
-    at.switch_worker(broken, partial=not over)
+    target.switch_worker(slow, slow=1.0 if undo else 10.0)
+    target.switch_worker(frozen, frozen=not undo)
+    target.switch_worker(broken, partial=not undo)
 
 
-def _kill(at: site.Site, name: str) -> None:
-    """Kill a daemon; the balancer, which we stand in for, leaves it alone."""
-    at.children[name].signal(signal.SIGKILL)
-    del at.daemons[name]
+def _kill(target: site.Site, name: str) -> None:
+    """Kill a daemon and drop it, as a load balancer would, from the callers' list."""
+    target.children[name].signal(signal.SIGKILL)
+    del target.daemons[name]
 
 
-def _replace(at: site.Site, name: str) -> None:
+def _replace(target: site.Site, name: str) -> None:
     _, number, suffix = name.split("-")
-    at.start_daemon(int(number), suffix=chr(ord(suffix) + 1))
+    target.start_daemon(int(number), suffix=chr(ord(suffix) + 1))
--- a/standins/demo/inventory.py
+++ b/standins/demo/inventory.py
@@ -14,7 +14,7 @@
 
 
 def make_certificates(folder: pathlib.Path) -> dict[str, str]:
-    """Write an authority and one certificate it signed; return their paths."""
+    """Write a certificate authority and a certificate it signed; return their paths."""
     authority = trustme.CA()
     certificate = authority.issue_cert("127.0.0.1")
     paths = {
@@ -27,12 +27,12 @@
 
 
 def list_machines(
-    intended: document.Document, spare: int, ports: process.Ports
+    intended: document.Document, spare_vms: int, ports: process.Ports
 ) -> list[dict[str, Any]]:
-    """Return VMs for all pools, in racks of four spread over data centres."""
+    """Return the VMs of all pools and spare VMs, in racks over data centres."""
     kinds = [pool.kind for pool in intended.pools for _ in range(pool.size)]
-    kinds += [intended.kinds[0].name] * spare
-    centres = intended.data_centres
+    kinds += [intended.kinds[0].name] * spare_vms
+    data_centres = intended.data_centres
     machines = []
     for index, (kind, port) in enumerate(
         zip(kinds, ports.allocate(len(kinds)), strict=True)
@@ -44,7 +44,7 @@
                 "kind": kind,
                 "address": f"127.0.0.1:{port}",
                 "rack": f"rack-{rack + 1:02}",
-                "data_centre": centres[rack % len(centres)].name,
+                "data_centre": data_centres[rack % len(data_centres)].name,
             }
         )
     return machines
--- a/standins/demo/process.py
+++ b/standins/demo/process.py
@@ -1,7 +1,7 @@
-"""Starting, watching and ending the processes of a run on loopback.
+"""Start, watch and stop the processes of a run on loopback.
 
-Processes are ended by their id only. An exit stack owns every one of them, so
-that a failure or Ctrl-C leaves none behind.
+Processes are stopped by their id only. An exit stack owns each of them, so that
+none is left after a failure or Ctrl-C.
 """
 
 import contextlib
@@ -17,74 +17,75 @@
 
 __all__ = ["Child", "Ports", "exit_on_sigterm", "start"]
 
-START_TIMEOUT_SECONDS = 20.0  # seconds for a stand-in to say that it is ready
-STOP_TIMEOUT_SECONDS = 15.0  # seconds from SIGTERM to SIGKILL
-FIRST_PORT, LAST_PORT = 10_000, 32_000
+START_TIMEOUT_SECONDS = 20.0  # until a stand-in prints that it is ready
+STOP_TIMEOUT_SECONDS = 15.0  # from SIGTERM to SIGKILL
+MIN_PORT, MAX_PORT = 10_000, 32_000
 
 
 class Ports:
-    """Hands out loopback ports that nothing listens on, and keeps them.
-
-    They lie below the range from which the kernel gives outgoing connections
-    their ports: one of those would take a port between its being handed out
-    and its being listened on. A bound socket keeps each one until `close`, so
-    that a run beside this one isn't given it before the process that it is
-    meant for listens, or while that is down. It doesn't listen itself:
-    connections are refused until a process that sets SO_REUSEADDR does.
+    """Allocates loopback ports that nothing listens on, and reserves them.
+
+    The ports lie below the kernel's ephemeral range: an outgoing connection could
+    otherwise take a port between its allocation and the process's listen. A bound
+    socket reserves each port until `close`, so that a concurrent run isn't given
+    it before the process that it is meant for listens, or while that process is
+    down. The socket doesn't listen itself: connections are refused until a
+    process that sets SO_REUSEADDR listens.
     """
 
     def __init__(self) -> None:
-        self._next = random.SystemRandom().randrange(FIRST_PORT, LAST_PORT)
-        self._kept: list[socket.socket] = []
+        self._next = random.SystemRandom().randrange(MIN_PORT, MAX_PORT)
+        self._reserved: list[socket.socket] = []
 
     def allocate(self, count: int = 1) -> list[int]:
-        """Return ``count`` free ports, never the same twice."""
-        found: list[int] = []
-        while len(found) < count:
-            self._next = self._next + 1 if self._next < LAST_PORT else FIRST_PORT
-            if self._keep(self._next):
-                found.append(self._next)
-        return found
+        """Return ``count`` free ports; none is returned twice."""
+        allocated: list[int] = []
+        while len(allocated) < count:
+            self._next = self._next + 1 if self._next < MAX_PORT else MIN_PORT
+            if self._reserve(self._next):
+                allocated.append(self._next)
+        return allocated
 
     def close(self) -> None:
-        """Let others have the ports: at the end of a run."""
-        while self._kept:
-            self._kept.pop().close()
+        """Release all ports, at the end of a run."""
+        while self._reserved:
+            self._reserved.pop().close()
 
-    def _keep(self, port: int) -> bool:
-        """Bind a port; False if anything else listens on it or keeps it.
+    def _reserve(self, port: int) -> bool:
+        """Bind a port; return False if it is in use or reserved by another run.
 
-        SO_REUSEADDR is set after the bind: before, two would share the port.
+        SO_REUSEADDR is set after the bind: set before, it would let two runs
+        bind the same port.
         """
-        keeper = socket.socket()
+        reservation = socket.socket()
         try:
-            keeper.bind(("127.0.0.1", port))
+            reservation.bind(("127.0.0.1", port))
         except OSError:
-            keeper.close()
+            reservation.close()
             return False
-        keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._kept.append(keeper)
+        reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._reserved.append(reservation)
         return True
 
 
 def exit_on_sigterm() -> None:
-    """Let SIGTERM end this program as Ctrl-C does: its exit stacks are run.
+    """Make SIGTERM exit this program as Ctrl-C does, so that exit stacks unwind.
 
-    A program that has its own way of ending by SIGTERM keeps it: in a run of
-    tests `SystemExit` would fail one of them, and the run would go on.
+    An existing handler of SIGTERM is kept: in a test run, `SystemExit` would fail
+    one test, and the run would continue.
     """
 
-    def leave(number: int, frame: object) -> None:
+    def exit_program(number: int, frame: object) -> None:
         del frame
         sys.exit(128 + number)
 
     is_main = threading.current_thread() is threading.main_thread()
     if is_main and signal.getsignal(signal.SIGTERM) is signal.SIG_DFL:
-        signal.signal(signal.SIGTERM, leave)
+        signal.signal(signal.SIGTERM, exit_program)
 
 
 class Child:
-    """A process that was started, with its output in a file."""
+    """A started process and the file that holds its output."""
 
     def __init__(self, name: str, popen: subprocess.Popen, log: pathlib.Path) -> None:
         self.name = name
@@ -94,12 +95,12 @@
     def wait_for_output(
         self, text: str, timeout: float = START_TIMEOUT_SECONDS
     ) -> None:
-        """Wait until the output holds ``text``.
+        """Wait until the output contains ``text``.
 
         Raises
         ------
         RuntimeError
-            If the process ends or the timeout (s) passes first.
+            If the process ends or the timeout in seconds passes first.
         """
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
@@ -119,7 +120,7 @@
         self.popen.send_signal(number)
 
     def stop(self, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
-        """End the process and return its exit status."""
+        """Stop the process and return its exit status."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
@@ -136,7 +137,7 @@
     name: str,
     arguments: Sequence[str],
 ) -> Child:
-    """Start ``python -m arguments``; the stack ends it.
+    """Start ``python -m arguments``; the stack stops it.
 
     Parameters
     ----------
@@ -145,7 +146,7 @@
     folder : pathlib.Path
         Where its output goes, as ``NAME.log``.
     name : str
-        Name for people.
+        Name of the log file and in error messages.
     arguments : sequence of str
         Module and its arguments.
     """
--- a/standins/demo/site.py
+++ b/standins/demo/site.py
@@ -1,4 +1,4 @@
-"""The processes of one customer's system on loopback: started and waited for."""
+"""Start the processes of one customer's site on loopback and wait for them."""
 
 import contextlib
 import pathlib
@@ -15,36 +15,36 @@
 
 __all__ = ["Options", "Site", "open_site"]
 
-READY_TIMEOUT_SECONDS = 30.0  # seconds for a daemon to be ready
+READY_TIMEOUT_SECONDS = 30.0
 
 
 class Options(NamedTuple):
-    """How a site is made.
+    """Options of a site.
 
     Parameters
     ----------
     daemons : int
     reboot_seconds : float
-        Time that a worker's reboot takes.
+        Duration of a worker's reboot.
     vm_lag : float
-        Seconds by which the VM list lags.
-    spare : int
+        Seconds by which the VM list lags behind.
+    spare_vms : int
         VMs beyond the pools' sizes.
     settings : mapping
-        Sections of the daemons' settings that differ from the usual.
+        Sections of the daemons' settings that override the default ones.
     uses_relay : bool
-        Whether peers talk through `standins.relay`, see `Site.switch_link`.
+        Whether peers connect through `standins.relay`, see `SiteClient.switch_link`.
     without : str
-        A mechanism of `standins.demo.without` that the daemons lack.
+        Name of the mechanism of `standins.demo.without` to disable.
     tls : bool
-        Whether callers, operators and peers use TLS, by certificates made for
+        Whether callers, operators and peers use TLS, with certificates made for
         this run.
     """
 
     daemons: int = 3
     reboot_seconds: float = 1.0
     vm_lag: float = 0.5
-    spare: int = 0
+    spare_vms: int = 0
     settings: Mapping[str, Mapping[str, Any]] = {}
     uses_relay: bool = False
     without: str = ""
@@ -52,7 +52,7 @@
 
 
 class Site(siteclient.SiteClient):
-    """A running site; `open_site` makes it.
+    """A running site, created by `open_site`.
 
     Attributes
     ----------
@@ -88,10 +88,12 @@
     def start_platform(self) -> None:
         """Start the workers' process and the platform stand-in."""
         machines = inventory.list_machines(
-            self.intended, self.options.spare, self.ports
+            self.intended, self.options.spare_vms, self.ports
         )
-        self.workers = {one["vm"]: one["address"] for one in machines}
-        pairs = [f"{vm}={at.rpartition(':')[2]}" for vm, at in self.workers.items()]
+        self.workers = {machine["vm"]: machine["address"] for machine in machines}
+        pairs = [
+            f"{vm}={address.rpartition(':')[2]}" for vm, address in self.workers.items()
+        ]
         self._start("workers", ["standins.worker", *pairs]).wait_for_output("ready")
         entries = [
             {
@@ -99,13 +101,13 @@
                 "kind": "entry",
                 "address": f"127.0.0.1:{self.ports.allocate()[0]}",
                 "rack": f"entry-rack-{number}",
-                "data_centre": self._centre(number),
+                "data_centre": self._get_data_centre(number),
                 "role": "entry",
             }
             for number in range(self.options.daemons)
         ]
-        listed = self.folder / "inventory.yaml"
-        listed.write_text(
+        inventory_file = self.folder / "inventory.yaml"
+        inventory_file.write_text(
             yaml.safe_dump(
                 {
                     "vms": machines + entries,
@@ -117,84 +119,84 @@
         port = self.ports.allocate()[0]
         self.platform_url = f"http://127.0.0.1:{port}"
         arguments = ["standins.platform", "--port", str(port)]
-        arguments += ["--inventory", str(listed)]
+        arguments += ["--inventory", str(inventory_file)]
         arguments += ["--vm-lag", str(self.options.vm_lag)]
         self._start("platform", arguments).wait_for_output("ready")
 
     def start_daemon(self, number: int, suffix: str = "a") -> siteclient.DaemonPorts:
-        """Start one daemon; a replaced one gets another suffix."""
+        """Start a daemon; a replacement gets another suffix."""
         name = f"entry-{number}-{suffix}"
         callers, operators, peers = self.ports.allocate(3)
-        given = siteclient.DaemonPorts(name, callers, operators, peers)
+        ports = siteclient.DaemonPorts(name, callers, operators, peers)
         if self.options.uses_relay:
-            given = given._replace(relay=self.ports.allocate()[0])
-            self.tell_relay(add=[name, given.relay, peers])
+            ports = ports._replace(relay=self.ports.allocate()[0])
+            self.send_relay_command(add=[name, ports.relay, peers])
         seeds = [
-            {"name": one.name, "address": one.advertised_address}
-            for one in self.daemons.values()
+            {"name": daemon.name, "address": daemon.advertised_address}
+            for daemon in self.daemons.values()
         ]
         settings = self.folder / f"{name}.yaml"
         settings.write_text(
-            yaml.safe_dump(self._make_settings(given, number, seeds)), encoding="utf-8"
+            yaml.safe_dump(self._make_settings(ports, number, seeds)), encoding="utf-8"
         )
         program = ["wigeonhitch.daemon.main"]
         if self.options.without:
             program = ["standins.demo.without", self.options.without]
         self._start(name, [*program, "--settings", str(settings)])
-        self.daemons[name] = given
-        return given
+        self.daemons[name] = ports
+        return ports
 
     def wait_until_serving(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
-        """Wait until every daemon listens to operators and is registered."""
+        """Wait until every daemon answers operators and is registered."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             with contextlib.suppress(httpx.HTTPError):
                 answers = [
                     self.request("GET", "/status", daemon=name) for name in self.daemons
                 ]
-                if all(one.json().get("registered") for one in answers):
+                if all(answer.json().get("registered") for answer in answers):
                     return
             time.sleep(0.05)
-        raise RuntimeError(f"daemons of {self.folder.name} don't serve operators")
+        raise RuntimeError(f"daemons of {self.folder.name} don't answer operators")
 
     def wait_until_ready(
         self, name: str, timeout: float = READY_TIMEOUT_SECONDS
     ) -> float:
-        """Wait for a daemon's readiness path; return the seconds it took."""
-        began = time.monotonic()
+        """Wait until a daemon reports readiness; return the elapsed seconds."""
+        started = time.monotonic()
         url = f"{self.scheme}://127.0.0.1:{self.daemons[name].callers}/-/ready"
-        while time.monotonic() - began < timeout:
+        while time.monotonic() - started < timeout:
             with contextlib.suppress(httpx.HTTPError):
                 answer = httpx.get(
                     url, timeout=1.0, trust_env=False, verify=self.verify
                 )
                 if answer.status_code == 200:
-                    return time.monotonic() - began
+                    return time.monotonic() - started
             if self.children[name].popen.poll() is not None:
                 break
             time.sleep(0.05)
         raise RuntimeError(f"{name} isn't ready:\n{self.children[name].read()}")
 
     def wait_for_operators(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
-        """Wait until every daemon answers operators."""
-        for one in self.daemons.values():
-            self.children[one.name].wait_for_output("serving", timeout)
+        """Wait until every daemon has logged that it serves."""
+        for daemon in self.daemons.values():
+            self.children[daemon.name].wait_for_output("serving", timeout)
 
     def wait_until_assigned(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
-        """Wait until every pool has its VMs, a few seconds after a document."""
+        """Wait until every pool has its VMs, some seconds after the activation."""
         sizes = {pool.name: pool.size for pool in self.intended.pools}
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             answer = self.request("GET", "/pools")
             if answer.status_code == 200:
                 pools = answer.json()["pools"]
-                if all(one["members"] >= sizes[one["pool"]] for one in pools):
+                if all(pool["members"] >= sizes[pool["pool"]] for pool in pools):
                     return
             time.sleep(0.1)
         raise RuntimeError(f"pools of {self.folder.name} don't have their VMs")
 
     def activate_document(self) -> float:
-        """Put the site's document in force; return the seconds until all are ready."""
+        """Activate the site's document; return the seconds until daemons are ready."""
         self.wait_until_serving()
         intended = yaml.safe_load(self.example.read_text(encoding="utf-8"))
         self.submit(intended, 0, "first")
@@ -204,8 +206,8 @@
     def wait_until_vms_known(self, timeout: float = READY_TIMEOUT_SECONDS) -> None:
         """Wait until each daemon has read which VMs serve each pool.
 
-        A daemon is ready before: it reads the VMs some seconds after they were
-        assigned, and says until then, truly, that no worker is available.
+        A daemon becomes ready earlier: it reads the VMs some seconds after their
+        assignment, and correctly answers until then that no worker is available.
         """
         deadline = time.monotonic() + timeout
         for daemon in self.daemons.values():
@@ -222,8 +224,8 @@
 
     def start_relay(self) -> None:
         """Start the relay between daemons."""
-        self.control = self.ports.allocate()[0]
-        arguments = ["standins.relay", "--control", str(self.control)]
+        self.relay_control_port = self.ports.allocate()[0]
+        arguments = ["standins.relay", "--control", str(self.relay_control_port)]
         self._start("relay", arguments).wait_for_output("ready")
 
     def _start(self, name: str, arguments: list[str]) -> process.Child:
@@ -231,40 +233,40 @@
         self.children[name] = child
         return child
 
-    def _centre(self, number: int) -> str:
+    def _get_data_centre(self, number: int) -> str:
         centres = self.intended.data_centres
         return centres[number % len(centres)].name
 
     def _make_settings(
-        self, given: siteclient.DaemonPorts, number: int, seeds: list[dict[str, str]]
+        self, ports: siteclient.DaemonPorts, number: int, seeds: list[dict[str, str]]
     ) -> dict[str, Any]:
-        credentials = [one._asdict() for one in self.operators]
-        for one in credentials:
-            one["roles"] = list(one["roles"])
-        made: dict[str, Any] = {
+        credentials = [operator._asdict() for operator in self.operators]
+        for entry in credentials:
+            entry["roles"] = list(entry["roles"])
+        sections: dict[str, Any] = {
             "daemon": {
-                "name": given.name,
+                "name": ports.name,
                 "vm": f"entry-{number}",
-                "data_centre": self._centre(number),
+                "data_centre": self._get_data_centre(number),
             },
-            "callers": {"bind": f"127.0.0.1:{given.callers}"},
+            "callers": {"bind": f"127.0.0.1:{ports.callers}"},
             "operators": {
-                "bind": f"127.0.0.1:{given.operators}",
+                "bind": f"127.0.0.1:{ports.operators}",
                 "credentials": credentials,
             },
             "peers": {
-                "bind": f"127.0.0.1:{given.peers}",
-                "advertise": given.advertised_address,
+                "bind": f"127.0.0.1:{ports.peers}",
+                "advertise": ports.advertised_address,
                 "seeds": seeds,
             },
             "platform": {"url": self.platform_url},
         }
         for section, fields in self.options.settings.items():
-            made[section] = made.get(section, {}) | dict(fields)
+            sections[section] = sections.get(section, {}) | dict(fields)
         if self.certificates is not None:
             for section in ("callers", "operators", "peers"):
-                made[section]["tls"] = dict(self.certificates)
-        return made
+                sections[section]["tls"] = dict(self.certificates)
+        return sections
 
 
 def open_site(
@@ -274,9 +276,9 @@
     example: pathlib.Path,
     options: Options = Options(),  # noqa: B008 - an immutable tuple
 ) -> Site:
-    """Start a whole site for the fleet document in ``example``.
+    """Start a site for the fleet document in ``example``.
 
-    The daemons run, but no document is in force yet.
+    The daemons run, but no document is active yet.
     """
     checked = check.check_text(example.read_text(encoding="utf-8"))
     if checked.intended is None:
--- a/standins/demo/siteclient.py
+++ b/standins/demo/siteclient.py
@@ -1,4 +1,4 @@
-"""Where the processes of a running system are reached, and how to speak to them."""
+"""Client for the processes of a running site: addresses and calls."""
 
 import contextlib
 import json
@@ -11,7 +11,7 @@
 
 __all__ = ["SECRET", "SiteClient", "DaemonPorts"]
 
-# Of every operator: the processes listen on loopback only.
+# Shared by all operators: the processes listen on loopback only.
 SECRET = "loopback-only"
 
 
@@ -26,17 +26,17 @@
 
     @property
     def advertised_address(self) -> str:
-        """The address at which peers reach it."""
+        """The address that peers connect to."""
         return f"127.0.0.1:{self.relay or self.peers}"
 
 
 class SiteClient:
-    """Speaks to platform, workers, daemons and the relay between daemons.
+    """Client for the platform, the workers, the daemons and the relay between them.
 
     Parameters
     ----------
     certificates : mapping of str to str, or None
-        Files as in a `schema.Tls`; None without TLS.
+        Certificate files as in `schema.Tls`; None without TLS.
 
     Attributes
     ----------
@@ -44,8 +44,8 @@
     workers : dict of str to str
         VM to ``host:port``.
     daemons : dict of str to DaemonPorts
-    control : int
-        Port of the relay, 0 if there is none.
+    relay_control_port : int
+        Control port of the relay, 0 without a relay.
     """
 
     def __init__(self, certificates: Mapping[str, str] | None) -> None:
@@ -53,7 +53,7 @@
         self.platform_url = ""
         self.workers: dict[str, str] = {}
         self.daemons: dict[str, DaemonPorts] = {}
-        self.control = 0
+        self.relay_control_port = 0
 
     @property
     def scheme(self) -> str:
@@ -62,7 +62,7 @@
 
     @property
     def verify(self) -> Any:
-        """What httpx is to trust."""
+        """TLS verification argument for httpx."""
         if self.certificates is None:
             return False
         return ssl.create_default_context(cafile=self.certificates["authority"])
@@ -89,7 +89,7 @@
         )
 
     def request_any(self, method: str, path: str) -> dict[str, Any]:
-        """Ask each daemon in turn; return the first good answer, or nothing."""
+        """Return the first answer with status 200 of any daemon, or an empty dict."""
         for name in list(self.daemons):
             with contextlib.suppress(httpx.HTTPError):
                 answer = self.request(method, path, daemon=name)
@@ -103,7 +103,7 @@
         Raises
         ------
         RuntimeError
-            If it isn't accepted.
+            If the document isn't accepted.
         """
         body = {"submission": name, "base": base, "document": intended}
         answer = self.request("POST", "/proposals", body)
@@ -115,37 +115,35 @@
             raise RuntimeError(f"document {name}: {answer.text}; expected 200")
 
     def list_members(self, pool: str) -> list[str]:
-        """Return the VMs that are in a pool now."""
-        return [
-            one["vm"] for one in self.request("GET", f"/pools/{pool}").json()["vms"]
-        ]
+        """Return the VMs that are currently in a pool."""
+        return [vm["vm"] for vm in self.request("GET", f"/pools/{pool}").json()["vms"]]
 
     def change_fleet(self, **fields: Any) -> None:
-        """Change the platform's VMs, as `platformfleet.Fleet.change` does."""
+        """Change the platform's VMs, see `platformfleet.Fleet.change`."""
         httpx.post(f"{self.platform_url}/fleet", json=fields, trust_env=False)
 
     def switch(self, **fields: Any) -> None:
-        """Set a switch of the platform stand-in."""
+        """Set fault switches of the platform stand-in."""
         httpx.post(f"{self.platform_url}/switch", json=fields, trust_env=False)
 
     def switch_worker(self, vm: str, **fields: Any) -> None:
-        """Set the switches of one worker."""
+        """Set the fault switches of one worker; those not given are reset."""
         url = f"http://{self.workers[vm]}/standin/switch"
         httpx.post(url, json=fields, trust_env=False)
 
     def switch_link(self, sender: str, receiver: str, state: str) -> None:
-        """Cut, freeze or open the link from one daemon to another."""
-        self.tell_relay(link=[sender, receiver, state])
+        """Set the state of the link from one daemon to another: open, cut or frozen."""
+        self.send_relay_command(link=[sender, receiver, state])
 
     def isolate(self, name: str, state: str) -> None:
-        """Switch all links from and to one daemon."""
+        """Set the state of all links from and to one daemon."""
         for other in self.daemons:
             if other != name:
                 self.switch_link(name, other, state)
                 self.switch_link(other, name, state)
 
     def read_logs(self) -> list[dict[str, Any]]:
-        """Return what truly ran on all workers."""
+        """Return the execution logs of all workers."""
         runs: list[dict[str, Any]] = []
         for address in self.workers.values():
             url = f"http://{address}/standin/log"
@@ -157,15 +155,17 @@
         answer = httpx.get(f"{self.platform_url}/history", trust_env=False, timeout=30)
         return answer.json()["history"]
 
-    def tell_relay(self, **command: Any) -> None:
-        """Give the relay a command.
+    def send_relay_command(self, **command: Any) -> None:
+        """Send a command to the relay.
 
         Raises
         ------
         RuntimeError
-            If it isn't carried out.
+            If the relay doesn't confirm the command.
         """
-        with socket.create_connection(("127.0.0.1", self.control), 5.0) as link:
-            link.sendall(json.dumps(command).encode() + b"\n")
-            if link.recv(16) != b"done\n":
-                raise RuntimeError(f"relay: {command} is not done")
+        with socket.create_connection(
+            ("127.0.0.1", self.relay_control_port), 5.0
+        ) as connection:
+            connection.sendall(json.dumps(command).encode() + b"\n")
+            if connection.recv(16) != b"done\n":
+                raise RuntimeError(f"relay didn't confirm the command {command}")
--- a/standins/demo/traffic.py
+++ b/standins/demo/traffic.py
@@ -1,9 +1,9 @@
 """Seeded traffic of callers over all daemons, with every outcome recorded.
 
-The callers run in a thread of their own, so that a scenario may stop, kill and
-switch meanwhile. Each caller has a client of its own and a bounded number of
-requests. An attempt is named ``REQUEST/ATTEMPT`` in ``X-Caller-Id``, which the
-workers log: what ran is known for each attempt.
+The callers run in a separate thread, so that a test can inject faults meanwhile.
+Each caller has its own client and sends a bounded number of requests. An attempt
+is identified by ``REQUEST/ATTEMPT`` in ``X-Caller-Id``, which the workers log, so
+that executions can be attributed to attempts.
 """
 
 import contextlib
@@ -29,32 +29,32 @@
 __all__ += ["Traffic", "open_traffic"]
 
 ANSWERED = "answered"
-BROKEN = "broken"  # the connection ended before a whole answer
+BROKEN = "broken"  # the connection ended before the answer was complete
 ABANDONED = "left"  # the caller left before the answer
 UNCONNECTED = "unconnected"  # no byte was sent
 
-ANSWER_TIMEOUT_SECONDS = 30.0  # seconds after which a caller gives up
+ANSWER_TIMEOUT_SECONDS = 30.0
 
 
 class Attempt(NamedTuple):
-    """One sending of a request.
+    """One attempt to send a request.
 
     Parameters
     ----------
     request : str
-        Names the request; all attempts of one share it.
+        Identifies the request; all its attempts share it.
     attempt : int
     daemon : str
-        The daemon that receives it.
+        Name of the daemon that the attempt is sent to.
     method, service : str
     work : float
-        Seconds of work asked of the worker.
+        Seconds that the worker takes for the request.
     key : str
-        Idempotency key; empty without.
+        Idempotency key; empty for a request without one.
     abandon_after : float
-        Seconds after which the caller leaves; 0 for never.
+        Seconds after which the caller disconnects; 0 for never.
     deadline : float
-        Seconds; 0 for that of the service.
+        Seconds; 0 for the deadline of the service.
     """
 
     request: str
@@ -69,17 +69,20 @@
 
     @property
     def name(self) -> str:
-        """The name that the workers log."""
+        """Identifier of the attempt in the workers' logs."""
         return f"{self.request}/{self.attempt}"
 
     @property
     def body(self) -> str:
-        """A body that belongs to this request alone."""
+        """Body that is unique to this request."""
         return f"body of {self.request}"
 
 
 class Outcome(NamedTuple):
-    """What the caller of an attempt saw; times in seconds since the epoch."""
+    """Outcome of an attempt as its caller saw it.
+
+    ``began`` is in seconds since the epoch, ``took`` in seconds.
+    """
 
     sent: Attempt
     ended: str
@@ -92,25 +95,25 @@
 
 
 class Mix(NamedTuple):
-    """What a caller sends.
+    """Distribution of the requests of a caller.
 
     Parameters
     ----------
     services : sequence of str
     works : sequence of float
-        Seconds of work, drawn evenly.
+        Seconds of work, drawn uniformly.
     keyed_share : float
         Share of requests that are POST with a key; half of the others are GET.
     duplicate_share : float
-        Share of the keyed ones that are sent to two daemons at once.
+        Share of keyed requests that are sent twice at the same time.
     abandoned_share : float
-        Share of all whose caller leaves early.
+        Share of requests whose caller disconnects within 50 ms.
     max_pause : float
-        Longest pause between requests, seconds.
+        Maximum pause between requests, in seconds.
     max_requests : int
-        Most requests of one caller.
+        Maximum number of requests of one caller.
     abandon_after : float
-        Seconds after which a caller leaves in any case.
+        Seconds after which the caller of any other request disconnects.
     """
 
     services: Sequence[str]
@@ -124,13 +127,13 @@
 
 
 class Traffic:
-    """Callers in a thread; `open_traffic` makes it.
+    """Callers in a thread, created by `open_traffic`.
 
     Parameters
     ----------
     portal : anyio.from_thread.BlockingPortal
     find_ports : callable
-        Returns the callers' port of every daemon by name, as they are now.
+        Returns the current callers' port of every daemon, by name.
     seed : int
     """
 
@@ -153,32 +156,37 @@
             )
 
     def send(self, attempts: Iterable[Attempt]) -> list[futures.Future]:
-        """Send all attempts at once, each as a caller of its own."""
-        return [self._portal.start_task_soon(self._send_alone, one) for one in attempts]
+        """Send all attempts concurrently, each by a separate caller."""
+        return [
+            self._portal.start_task_soon(self._send_alone, attempt)
+            for attempt in attempts
+        ]
 
     def send_and_wait(self, attempts: Iterable[Attempt]) -> list[Outcome]:
-        """Send all attempts at once and return their outcomes."""
-        return [one.result() for one in self.send(attempts)]
+        """Send all attempts concurrently and return their outcomes."""
+        return [future.result() for future in self.send(attempts)]
 
     def stop(self) -> list[Outcome]:
-        """Let the callers finish what they sent; return all outcomes so far."""
+        """Stop the callers after their current requests; return all outcomes."""
         self._stopped = True
         return self.finish()
 
     def finish(self) -> list[Outcome]:
-        """Let the callers send all they were asked; return all outcomes."""
-        for one in self._running:
-            one.result()
+        """Wait until the callers have sent all their requests; return all outcomes."""
+        for future in self._running:
+            future.result()
         return list(self.outcomes)
 
     def wait_for(self, count: int, matching: Callable[[Outcome], bool]) -> None:
         """Wait until ``count`` more outcomes match; bounded by `ANSWER_LIMIT`."""
         before = len(self.outcomes)
         deadline = time.monotonic() + ANSWER_TIMEOUT_SECONDS
-        while sum(bool(matching(one)) for one in self.outcomes[before:]) < count:
+        while (
+            sum(bool(matching(outcome)) for outcome in self.outcomes[before:]) < count
+        ):
             if time.monotonic() > deadline:
                 raise RuntimeError(
-                    f"no {count} such outcomes in {ANSWER_TIMEOUT_SECONDS} s"
+                    f"not {count} matching outcomes in {ANSWER_TIMEOUT_SECONDS} s"
                 )
             time.sleep(0.02)
 
@@ -213,40 +221,40 @@
             attempts.append(
                 first._replace(attempt=1, daemon=other, abandon_after=mix.abandon_after)
             )
-        made: list[Outcome] = []
+        outcomes: list[Outcome] = []
         async with anyio.create_task_group() as group:
-            for one in attempts:
-                group.start_soon(self._keep, client, one, made)
-        if is_keyed and not any(one.verdict == "ran" for one in made):
+            for attempt in attempts:
+                group.start_soon(self._send_and_record, client, attempt, outcomes)
+        if is_keyed and not any(outcome.verdict == "ran" for outcome in outcomes):
             other = rng.choice(sorted(self._find_ports()))
             repeat = first._replace(
                 attempt=len(attempts), daemon=other, abandon_after=mix.abandon_after
             )
-            await self._keep(client, repeat, made)
+            await self._send_and_record(client, repeat, outcomes)
 
-    async def _keep(
-        self, client: httpx.AsyncClient, one: Attempt, made: list[Outcome]
+    async def _send_and_record(
+        self, client: httpx.AsyncClient, attempt: Attempt, outcomes: list[Outcome]
     ) -> None:
-        port = self._find_ports().get(one.daemon)
-        if port is None:  # taken out since the caller chose it
-            outcome = Outcome(one, UNCONNECTED, time.time(), 0.0)
+        port = self._find_ports().get(attempt.daemon)
+        if port is None:  # removed since the caller chose it
+            outcome = Outcome(attempt, UNCONNECTED, time.time(), 0.0)
         else:
-            outcome = await send(client, port, one)
-        made.append(outcome)
+            outcome = await send(client, port, attempt)
+        outcomes.append(outcome)
         self.outcomes.append(outcome)
 
-    async def _send_alone(self, one: Attempt) -> Outcome:
-        made: list[Outcome] = []
+    async def _send_alone(self, attempt: Attempt) -> Outcome:
+        outcomes: list[Outcome] = []
         async with _open_client() as client:
-            await self._keep(client, one, made)
-        return made[0]
+            await self._send_and_record(client, attempt, outcomes)
+        return outcomes[0]
 
 
 @contextlib.contextmanager
 def open_traffic(
     find_ports: Callable[[], Mapping[str, int]], seed: int
 ) -> Iterator[Traffic]:
-    """Run callers until the context ends."""
+    """Run callers until the context exits."""
     with anyio.from_thread.start_blocking_portal() as portal:
         traffic = Traffic(portal, find_ports, seed)
         try:
@@ -255,27 +263,27 @@
             traffic.stop()
 
 
-async def send(client: httpx.AsyncClient, port: int, one: Attempt) -> Outcome:
-    """Send one attempt and return what its caller saw."""
-    headers = {"X-Caller-Id": one.name}
-    if one.key:
-        headers["Idempotency-Key"] = one.key
-    if one.deadline:
-        headers["Wigeonhitch-Deadline"] = str(one.deadline)
-    url = f"http://127.0.0.1:{port}/{one.service}/run?work={one.work}"
+async def send(client: httpx.AsyncClient, port: int, attempt: Attempt) -> Outcome:
+    """Send one attempt and return its outcome."""
+    headers = {"X-Caller-Id": attempt.name}
+    if attempt.key:
+        headers["Idempotency-Key"] = attempt.key
+    if attempt.deadline:
+        headers["Wigeonhitch-Deadline"] = str(attempt.deadline)
+    url = f"http://127.0.0.1:{port}/{attempt.service}/run?work={attempt.work}"
     began, start = time.time(), time.monotonic()
-    ended, found = ABANDONED, {}
+    ended, fields = ABANDONED, {}
     try:
-        with anyio.move_on_after(one.abandon_after or ANSWER_TIMEOUT_SECONDS):
+        with anyio.move_on_after(attempt.abandon_after or ANSWER_TIMEOUT_SECONDS):
             response = await client.request(
-                one.method, url, headers=headers, content=one.body
+                attempt.method, url, headers=headers, content=attempt.body
             )
-            ended, found = ANSWERED, _read(response)
+            ended, fields = ANSWERED, _read(response)
     except (httpx.ConnectError, httpx.ConnectTimeout):
         ended = UNCONNECTED
     except httpx.HTTPError:
         ended = BROKEN
-    return Outcome(one, ended, began, time.monotonic() - start, **found)
+    return Outcome(attempt, ended, began, time.monotonic() - start, **fields)
 
 
 def _read(response: httpx.Response) -> dict[str, Any]:
--- a/standins/demo/without.py
+++ b/standins/demo/without.py
@@ -1,8 +1,8 @@
-"""A daemon with one mechanism off: ``python -m standins.demo.without NAME ...``.
+"""Daemon with one mechanism disabled: ``python -m standins.demo.without NAME ...``.
 
-A proof that cannot fail proves nothing. Each entry of `MECHANISMS` takes one
-mechanism out of the daemon; the proof of its property must then fail. Used by
-the tests of processes with the environment variable ``WITHOUT`` set to a name.
+Shows that the process tests can fail. Each entry of `MECHANISMS` disables one
+mechanism of the daemon; the test of the property that it ensures must then fail.
+The process tests use it when the environment variable ``WITHOUT`` holds a name.
 """
 
 import sys
@@ -20,22 +20,22 @@
 
 
 def skip_claims() -> None:
-    """Send keyed requests without a claim."""
+    """Send keyed requests without acquiring a claim."""
 
-    async def serve(self: Any, key: str, *given: Any) -> Any:
+    async def serve(self: Any, key: str, *arguments: Any) -> Any:
         del key
-        return await self._dispatch.serve(*given)
+        return await self._dispatch.serve(*arguments)
 
     guard.IdempotencyGuard.serve = serve
 
 
 def skip_send_window() -> None:
-    """Send whenever, however old the claim is."""
+    """Allow sending regardless of the age of the claim."""
     store.Claims.may_send = lambda self, claim: True
 
 
 def call_breaks_not_run() -> None:
-    """Take every exchange of unknown fate with a worker for "not run"."""
+    """Classify every exchange with a worker of unknown outcome as "not run"."""
     original = sender.Sender.send
     refused = sender.Result(verdict.not_run(verdict.Reason.NOT_CONNECTED))
 
@@ -47,12 +47,12 @@
 
 
 def tell_unknown_not_run() -> None:
-    """Tell callers "not run" for every request of unknown fate."""
+    """Answer "not run" to callers for every request of unknown outcome."""
     original = dispatcher.Dispatcher.serve
     refused = verdict.not_run(verdict.Reason.DEADLINE)
 
-    async def serve(self: Any, *given: Any) -> dispatcher.FinalAnswer:
-        final = await original(self, *given)
+    async def serve(self: Any, *arguments: Any) -> dispatcher.FinalAnswer:
+        final = await original(self, *arguments)
         if final.verdict.ran is verdict.Ran.MAYBE:
             return dispatcher.FinalAnswer(refused, None)
         return final
@@ -61,17 +61,17 @@
 
 
 def skip_confirmation() -> None:
-    """Stop a drained VM without waiting for any daemon."""
+    """Stop a drained VM without waiting for the daemons' confirmation."""
     wave.find_unconfirmed = lambda snapshot, row: ()
 
 
 def ignore_drains() -> None:
-    """Send to VMs that are draining, and confirm the drain."""
+    """Keep sending to VMs that are draining, but confirm the drain."""
     workers.Workers._find_unusable = lambda self: frozenset()
 
 
 def skip_finish() -> None:
-    """Stop without finishing what is held."""
+    """Stop without finishing held requests."""
 
     async def stop(self: Any) -> None:
         self.stopping = True
@@ -80,7 +80,7 @@
 
 
 def keep_duties() -> None:
-    """Never take a lost daemon's duties over."""
+    """Never take over the duties of a lost daemon."""
     original = duty.Duties
 
     def make(daemon: str, limits: duty.Limits) -> duty.Duties:
@@ -90,13 +90,13 @@
 
 
 def skip_readiness() -> None:
-    """Be ready whatever is known of the version in force."""
+    """Report readiness without checking the active version."""
     assembly.Daemon.is_ready = lambda self: not self.stopping
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
-    one.__name__: one
-    for one in (
+    mechanism.__name__: mechanism
+    for mechanism in (
         skip_claims,
         skip_send_window,
         call_breaks_not_run,
@@ -111,7 +111,7 @@
 
 
 def run() -> None:
-    """Take the named mechanism out and run the daemon."""
+    """Disable the named mechanism and run the daemon."""
     MECHANISMS[sys.argv.pop(1)]()
     main.run()
 
--- a/standins/fake.py
+++ b/standins/fake.py
@@ -1,8 +1,8 @@
-"""The platform in process, without sockets: for the tests of every slice.
+"""In-process platform without sockets, for the tests of all packages.
 
 `Fake` runs the same engine, faults and client as the platform stand-in, under
-a clock that the test sets. Its calls never suspend, so a test without an event
-loop may run them with `run`.
+a clock that the test sets. By default its calls never suspend, so that a test
+without an event loop can run them with `run`.
 
 Examples
 --------
@@ -38,7 +38,7 @@
     Raises
     ------
     RuntimeError
-        If the call waits for something.
+        If the call suspends.
     """
     try:
         call.send(None)
@@ -49,7 +49,7 @@
 
 
 class Fake:
-    """Engine, settable clock, and clients for any number of daemons.
+    """Engine with a settable clock, and clients for any number of daemons.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
     vm_lag, usage_lag, reboot_seconds : float
         Seconds.
     suspends : bool
-        Whether each try lets other tasks run first.
+        Whether each attempt lets other tasks run first.
     seed : int
         Seed of the clients' jitter and tokens.
     """
@@ -72,7 +72,7 @@
         now: float = 1_000_000.0,
         vm_lag: float = 0.0,
         usage_lag: float = 0.0,
-        reboot_seconds: float = platformfleet.DEFAULT_REBOOT,
+        reboot_seconds: float = platformfleet.DEFAULT_REBOOT_SECONDS,
         suspends: bool = False,
         seed: int = 1,
     ) -> None:
@@ -82,7 +82,7 @@
         self.now = now
         self.engine = platformengine.Engine(fleet, usage_lag=usage_lag)
         self.suspends = suspends
-        self.late: list[tuple[float, platformengine.Call]] = []
+        self.late_calls: list[tuple[float, platformengine.Call]] = []
         self._rng = random.Random(seed)
         self.client = self.build_client("test")
         self.table = self.client
@@ -91,37 +91,38 @@
         self.tasks = self.client
 
     def build_client(self, daemon: str, data_centre: str = "") -> client.Client:
-        """Return the client of one daemon; it implements all Protocols."""
-        carrier = _Carrier(self, daemon, data_centre)
+        """Return the client of one daemon; it implements all platform protocols."""
+        fake_transport = _FakeTransport(self, daemon, data_centre)
         rng = random.Random(self._rng.random())
         return client.Client(
-            carrier, rng=rng, clock=lambda: self.now, sleep=self._sleep
+            fake_transport, rng=rng, clock=lambda: self.now, sleep=self._sleep
         )
 
     def switch(self, **switches: Any) -> None:
-        """Set faults: see `platformfaults.Faults.switch`."""
+        """Set faults, see `platformfaults.Faults.switch`."""
         self.engine.faults.switch(switches)
 
     def change_fleet(self, **changes: Any) -> None:
-        """Change VMs: see `platformfleet.Fleet.change`."""
+        """Change VMs, see `platformfleet.Fleet.change`."""
         self.engine.fleet.change(changes, self.now)
 
     def advance(self, seconds: float) -> None:
-        """Move the clock; late writes that are due take effect in between."""
+        """Advance the clock; late writes that become due take effect in time order."""
         end = self.now + seconds
         due = sorted(
-            (item for item in self.late if item[0] <= end), key=lambda item: item[0]
+            (item for item in self.late_calls if item[0] <= end),
+            key=lambda item: item[0],
         )
-        for moment, call in due:
-            self.late.remove((moment, call))
-            self.now = max(self.now, moment)
+        for due_at, call in due:
+            self.late_calls.remove((due_at, call))
+            self.now = max(self.now, due_at)
             self.engine.handle(call, self.now)
         self.now = end
         self.engine.advance(self.now)
 
     def land(self) -> int:
-        """Let all late writes take effect now; return how many there were."""
-        late, self.late = self.late, []
+        """Apply all late writes now; return their number."""
+        late, self.late_calls = self.late_calls, []
         for _, call in late:
             self.engine.handle(call, self.now)
         return len(late)
@@ -131,8 +132,8 @@
             await anyio.lowlevel.checkpoint()
 
 
-class _Carrier:
-    """Transport that calls the engine of a fake."""
+class _FakeTransport:
+    """Transport that calls the engine of a `Fake`."""
 
     def __init__(self, fake: Fake, daemon: str, data_centre: str) -> None:
         self._fake = fake
@@ -140,7 +141,7 @@
         self._data_centre = data_centre
 
     async def send(self, request: transport.Request, timeout: float) -> resolve.Reply:
-        """Make one try, struck by the faults that are switched on."""
+        """Make one attempt, subject to the faults that are switched on."""
         fake = self._fake
         if fake.suspends:
             await anyio.lowlevel.checkpoint()
@@ -162,7 +163,7 @@
         if fault.kind is kind.HANG:
             return resolve.Reply(resolve.ReplyKind.LOST)
         if fault.kind is kind.LATE or fault.delay >= timeout:
-            fake.late.append((fake.now + fault.delay, call))
+            fake.late_calls.append((fake.now + fault.delay, call))
             return resolve.Reply(resolve.ReplyKind.LOST)
         answer = fake.engine.handle(call, fake.now)
         if fault.kind is kind.LOSE or answer.status >= 500:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
 """Platform stand-in as a process: ``python -m standins.platform``.
 
-Serves `standins.platformengine` over HTTP on loopback, in process, and prints
-one line ``ready`` when it listens. SIGTERM ends it.
+Serves `standins.platformengine` over HTTP on loopback, and prints the line
+``ready`` when it listens. SIGTERM stops it.
 """
 
 import argparse
@@ -19,12 +19,12 @@
 
 __all__ = ["run"]
 
-NOTICE_TIMEOUT = 2.0
-"""Seconds to tell a worker process to behave as rebooting."""
+NOTICE_TIMEOUT_SECONDS = 2.0
+"""Timeout of the call that tells a worker process to simulate a reboot."""
 HANG_SECONDS = 3600.0
-"""Seconds after which a hung request is dropped in any case."""
-TICK = 0.1
-"""Seconds between steps of VMs and tasks when no request comes."""
+"""Time after which a hung request is dropped although its caller still waits."""
+STEP_INTERVAL_SECONDS = 0.1
+"""Interval at which VMs and tasks advance if no request arrives."""
 
 
 class Application:
@@ -49,7 +49,7 @@
             await _send(send, platformengine.Answer(503, {"error": "down"}))
             return
         if fault.kind is platformfaults.Kind.HANG:
-            await _wait_for_leave(receive)
+            await _wait_for_disconnect(receive)
             return
         if fault.kind is platformfaults.Kind.LATE:
             self.group.start_soon(self._apply_late, call, fault.delay)
@@ -80,7 +80,7 @@
     )
 
 
-async def _wait_for_leave(receive: Any) -> None:
+async def _wait_for_disconnect(receive: Any) -> None:
     with anyio.move_on_after(HANG_SECONDS):
         while (await receive())["type"] != "http.disconnect":
             pass
@@ -100,8 +100,10 @@
 
 
 async def _step(engine: platformengine.Engine) -> None:
-    """Advance VMs and tasks, and tell rebooting workers so."""
-    async with httpx.AsyncClient(timeout=NOTICE_TIMEOUT, trust_env=False) as client:
+    """Advance VMs and tasks, and notify the workers of rebooting VMs."""
+    async with httpx.AsyncClient(
+        timeout=NOTICE_TIMEOUT_SECONDS, trust_env=False
+    ) as client:
         while True:
             engine.advance(time.time())
             while engine.fleet.notices:
@@ -111,7 +113,7 @@
                     await client.post(url, json={"seconds": notice.seconds})
                 except httpx.HTTPError:
                     continue
-            await anyio.sleep(TICK)
+            await anyio.sleep(STEP_INTERVAL_SECONDS)
 
 
 def build_engine(options: argparse.Namespace) -> platformengine.Engine:
@@ -120,7 +122,7 @@
     if options.inventory:
         text = pathlib.Path(options.inventory).read_text(encoding="utf-8")
         inventory = yaml.safe_load(text) or {}
-    seconds = inventory.get("reboot_seconds", platformfleet.DEFAULT_REBOOT)
+    seconds = inventory.get("reboot_seconds", platformfleet.DEFAULT_REBOOT_SECONDS)
     fleet = platformfleet.Fleet(
         inventory.get("vms", ()),
         lag=options.vm_lag,
@@ -143,7 +145,7 @@
 
 
 def run() -> None:
-    """Read the options and serve."""
+    """Parse the options and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--inventory")
--- a/standins/platformclaimant.py
+++ b/standins/platformclaimant.py
@@ -1,9 +1,9 @@
-"""A process that claims keys like a daemon, for proofs under real failures.
+"""Process that claims keys as a daemon does, for tests with real failures.
 
 ``python -m standins.platformclaimant --address URL --name NAME --keys N``
-claims random keys of a fixed set again and again until SIGTERM. Each line it
-prints is a fact: ``sent KEY ANSWER`` right before a request would go to a
-worker, ``replayed KEY ANSWER``, ``told VERDICT``.
+repeatedly claims random keys of a fixed set until SIGTERM. It prints a line for
+each event: ``sent KEY ANSWER`` right before a request would be sent to a worker,
+``replayed KEY ANSWER``, and ``told VERDICT``.
 """
 
 import argparse
@@ -19,44 +19,45 @@
 
 __all__ = ["run"]
 
-WORKERS = 6
-"""Requests under way at once."""
+CONCURRENT_REQUESTS = 6
 
 
 class Claimant:
-    """Claims keys and prints what becomes of them."""
+    """Claims keys and prints the results."""
 
     def __init__(self, claims: store.Claims, options: argparse.Namespace) -> None:
         self._claims = claims
         self._options = options
         self._rng = random.Random(options.name)
-        self._serial = 0
+        self._send_count = 0
 
     async def run(self) -> None:
-        """Claim random keys for ever."""
+        """Claim random keys until cancelled."""
         while True:
             key = f"k{self._rng.randrange(self._options.keys)}"
-            got = await self._claims.acquire("s", key, "print", timeout=2.0)
-            if got.kind is decision.Kind.GRANTED and got.claim is not None:
-                await self._use(key, got.claim)
-            elif got.answer is not None:
-                print("replayed", key, got.answer.body.decode(), flush=True)
-            elif got.told is not None:
-                print("told", got.told.ran.value, got.told.reason.value, flush=True)
-                refused = got.told.ran is verdict.Ran.NO
+            result = await self._claims.acquire("s", key, "print", timeout=2.0)
+            if result.kind is decision.Kind.GRANTED and result.claim is not None:
+                await self._use(key, result.claim)
+            elif result.answer is not None:
+                print("replayed", key, result.answer.body.decode(), flush=True)
+            elif result.told is not None:
+                print(
+                    "told", result.told.ran.value, result.told.reason.value, flush=True
+                )
+                refused = result.told.ran is verdict.Ran.NO
                 await anyio.sleep(0.1 if refused else 0.01)
 
     async def _use(self, key: str, claim: store.Claim) -> None:
-        fate = self._rng.choice(["ran", "ran", "ran", "broken", "not sent"])
+        outcome = self._rng.choice(["ran", "ran", "ran", "broken", "not sent"])
         await anyio.sleep(self._rng.random() * 0.05)
-        if fate == "not sent" or not self._claims.may_send(claim):
+        if outcome == "not sent" or not self._claims.may_send(claim):
             await self._claims.release(claim)
             return
-        self._serial += 1
-        body = f"{self._options.name}/{self._serial}"
+        self._send_count += 1
+        body = f"{self._options.name}/{self._send_count}"
         print("sent", key, body, flush=True)
         await anyio.sleep(self._rng.random() * 0.05)
-        if fate == "broken":
+        if outcome == "broken":
             await self._claims.doubt(claim)
             return
         answer = record.KeptAnswer(200, (), body.encode())
@@ -64,7 +65,7 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Claim until ended."""
+    """Claim keys until terminated."""
     logging.set_verbosity(logging.ERROR)
     async with contextlib.AsyncExitStack() as stack:
         rng = random.Random(options.name)
@@ -75,12 +76,12 @@
         claimant = Claimant(claims, options)
         async with anyio.create_task_group() as tasks:
             await tasks.start(claims.run)
-            for _ in range(WORKERS):
+            for _ in range(CONCURRENT_REQUESTS):
                 tasks.start_soon(claimant.run)
 
 
 def run() -> None:
-    """Read the options and claim."""
+    """Parse the options and claim keys."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--address", required=True)
     parser.add_argument("--name", required=True)
--- a/standins/platformengine.py
+++ b/standins/platformengine.py
@@ -1,8 +1,8 @@
-"""Requests of the platform stand-in answered without I/O.
+"""Request handling of the platform stand-in, without I/O.
 
 `Engine.handle` takes one request and the time and returns the answer. The
-process (`standins.platform`) puts HTTP around it, the fake (`standins.fake`)
-calls it directly; both carry out the same faults.
+process (`standins.platform`) serves it over HTTP, the fake (`standins.fake`)
+calls it directly; both apply the same faults.
 """
 
 import collections
@@ -16,11 +16,11 @@
 
 
 TABLE_PATHS = ("/table/", "/objects/")
-"""Calls to these need no step of VMs and tasks."""
+"""Calls under these paths don't depend on the state of VMs and tasks."""
 
 
 class Call(NamedTuple):
-    """One request; ``body`` is decoded JSON, or bytes for an object."""
+    """Request; ``body`` is decoded JSON, or bytes for an object."""
 
     method: str
     path: str
@@ -31,14 +31,14 @@
 
 
 class Answer(NamedTuple):
-    """Status and body; a bytes body is sent as it is."""
+    """Status and body; a body of bytes is sent unchanged."""
 
     status: int
     body: Any
 
 
 class Engine:
-    """The whole stand-in: table, objects, VMs, tasks, faults and counters."""
+    """State of the stand-in: table, objects, VMs, tasks, faults and counters."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         """Answer one request; ``now`` in seconds since the Unix epoch."""
         if not call.path.startswith(TABLE_PATHS):
             self.advance(now)
-        route = self._routes.get((call.method, call.path)) or self._match(call)
+        route = self._routes.get((call.method, call.path)) or self._match_prefix(call)
         if route is None:
             return Answer(404, {"error": f"no route {call.method} {call.path}"})
         try:
@@ -83,11 +83,11 @@
             return Answer(400, {"error": f"{type(error).__name__}: {error}"})
 
     def advance(self, now: float) -> None:
-        """Bring VMs and tasks up to ``now``."""
+        """Advance VMs and tasks to ``now``."""
         self.tasks.advance(now, self.fleet.live, self.fleet.failing)
         self.fleet.advance(now)
 
-    def _match(self, call: Call) -> Callable[[Call, float], Answer] | None:
+    def _match_prefix(self, call: Call) -> Callable[[Call, float], Answer] | None:
         if call.path.startswith("/objects/"):
             return {"PUT": self._put, "GET": self._get}.get(call.method)
         if call.method == "POST" and call.path.startswith("/vms/"):
@@ -99,18 +99,18 @@
     def _count(self, kind: str, call: Call) -> None:
         self.counters[kind][call.purpose or "none"] += 1
 
-    def _rows(self, rows: list[table.Row], now: float) -> Answer:
+    def _answer_rows(self, rows: list[table.Row], now: float) -> Answer:
         body = {"rows": rows, "time": now, "revision": self.store.revision}
         return Answer(200, body)
 
     def _read(self, call: Call, now: float) -> Answer:
         self._count("reads", call)
-        return self._rows(self.store.read(call.body["keys"]), now)
+        return self._answer_rows(self.store.read(call.body["keys"]), now)
 
     def _scan(self, call: Call, now: float) -> Answer:
         self._count("reads", call)
         since = call.body.get("since", 0)
-        return self._rows(self.store.scan(call.body["prefix"], since), now)
+        return self._answer_rows(self.store.scan(call.body["prefix"], since), now)
 
     def _commit(self, call: Call, now: float) -> Answer:
         self._count("writes", call)
@@ -156,20 +156,20 @@
     def _start(self, call: Call, now: float) -> Answer:
         self._count("writes", call)
         spec = tasks.TaskSpec(**call.body)
-        return self._refuse(self.tasks.start(spec, self.fleet.live, now), now)
+        return self._answer_order(self.tasks.start(spec, self.fleet.live, now), now)
 
     def _renew(self, call: Call, now: float) -> Answer:
         self._count("writes", call)
         body = call.body
         reason = self.tasks.renew(body["tasks"], body["fence"], body["lease"], now)
-        return self._refuse(reason, now)
+        return self._answer_order(reason, now)
 
     def _control(self, call: Call, now: float) -> Answer:
         self._count("writes", call)
         name = call.path.removeprefix("/tasks/").removesuffix("/control")
         body = call.body
         reason = self.tasks.control(name, body["action"], body["fence"], now)
-        return self._refuse(reason, now)
+        return self._answer_order(reason, now)
 
     def _list_tasks(self, call: Call, now: float) -> Answer:
         self._count("reads", call)
@@ -177,7 +177,7 @@
         shown = [task._asdict() | {"state": task.state.value} for task in listed]
         return Answer(200, {"tasks": shown, "time": now})
 
-    def _refuse(self, reason: str, now: float) -> Answer:
+    def _answer_order(self, reason: str, now: float) -> Answer:
         return Answer(409 if reason else 200, {"reason": reason, "time": now})
 
     def _show_history(self, call: Call, now: float) -> Answer:
--- a/standins/platformfaults.py
+++ b/standins/platformfaults.py
@@ -1,7 +1,7 @@
-"""Switches that make the platform stand-in fail, without I/O.
+"""Fault switches of the platform stand-in, without I/O.
 
-A fault is decided once per request; the process and the in-process fake both
-carry it out: the process with sockets, the fake by what it returns.
+The fault of a request is decided once; the process applies it to its sockets, the
+in-process fake to the result that it returns.
 """
 
 import enum
@@ -10,8 +10,8 @@
 
 __all__ = ["Fault", "Faults", "Kind"]
 
-OPEN_PATHS = ("/switch", "/counters", "/history", "/fleet", "/tasks/log", "/health")
-"""Paths of checkers and tests; never struck by a fault."""
+EXEMPT_PATHS = ("/switch", "/counters", "/history", "/fleet", "/tasks/log", "/health")
+"""Paths that checks and tests use; never subject to a fault."""
 
 
 class Kind(enum.Enum):
@@ -19,24 +19,24 @@
 
     NONE = "none"
     DOWN = "down"
-    """Refused with 503 before any effect."""
+    """Refused with 503, without effect."""
     HANG = "hang"
     """Never answered, without effect."""
     LOSE = "lose"
-    """Takes effect; the answer is lost."""
+    """Takes effect, but the answer is lost."""
     LATE = "late"
-    """The answer is lost and the effect comes later."""
+    """The answer is lost, and the request takes effect later."""
 
 
 class Fault(NamedTuple):
-    """The fault of one request; ``delay`` in seconds."""
+    """Fault of one request; ``delay`` in seconds."""
 
     kind: Kind
     delay: float = 0.0
 
 
 class Faults:
-    """State of the switches.
+    """State of the fault switches.
 
     Examples
     --------
@@ -54,22 +54,22 @@
         self.slow = 0.0
         self.cut: set[str] = set()
         self.rules: dict[str, dict[str, Any]] = {}
-        self._seen = {"lose": 0, "late": 0}
+        self._match_counts = {"lose": 0, "late": 0}
 
     def switch(self, body: Mapping[str, Any]) -> None:
-        """Change the switches that ``body`` names, leave the others.
+        """Set the switches that ``body`` names; the others stay unchanged.
 
         Raises
         ------
         ValueError
-            For a switch that does not exist.
+            If a switch doesn't exist.
         """
         for name, value in body.items():
             if name == "cut":
                 self.cut = set(value)
             elif name in ("lose", "late"):
                 self.rules[name] = dict(value or {"next": 0})
-                self._seen[name] = 0
+                self._match_counts[name] = 0
             elif name in ("down", "hang", "slow"):
                 setattr(self, name, value)
             else:
@@ -78,8 +78,8 @@
                 )
 
     def decide(self, path: str, daemon: str, data_centre: str) -> Fault:
-        """Decide what happens to one request; uses up ``next`` rules."""
-        if path.startswith(OPEN_PATHS):
+        """Decide the fault of one request; decrements the ``next`` counts of rules."""
+        if path.startswith(EXEMPT_PATHS):
             return Fault(Kind.NONE)
         if self.cut & {daemon, data_centre}:
             return Fault(Kind.HANG)
@@ -87,19 +87,19 @@
             return Fault(Kind.DOWN)
         if self.hang:
             return Fault(Kind.HANG)
-        if self._strikes("late", path):
+        if self._applies("late", path):
             return Fault(Kind.LATE, self.rules["late"].get("seconds", 1.0))
-        if self._strikes("lose", path):
+        if self._applies("lose", path):
             return Fault(Kind.LOSE)
         return Fault(Kind.NONE, self.slow)
 
-    def _strikes(self, name: str, path: str) -> bool:
+    def _applies(self, name: str, path: str) -> bool:
         rule = self.rules.get(name)
         if rule is None or not path.startswith(rule.get("prefix", "/")):
             return False
         if rule.get("next", 0) > 0:
             rule["next"] -= 1
             return True
-        self._seen[name] += 1
+        self._match_counts[name] += 1
         every = rule.get("every", 0)
-        return every > 0 and self._seen[name] % every == 0
+        return every > 0 and self._match_counts[name] % every == 0
--- a/standins/platformfleet.py
+++ b/standins/platformfleet.py
@@ -1,4 +1,4 @@
-"""VM list of the platform stand-in, without I/O: lagging, with reboots."""
+"""VM list of the platform stand-in, without I/O: with lag and reboots."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
@@ -7,19 +7,19 @@
 
 __all__ = ["Fleet", "Notice"]
 
-DEFAULT_REBOOT = 5.0
-"""Seconds that a VM is gone from the list while it reboots."""
+DEFAULT_REBOOT_SECONDS = 5.0
+"""Time for which a VM is missing in the list while it reboots."""
 
 
 class Notice(NamedTuple):
-    """Told to the worker process at ``address``: behave as rebooting."""
+    """Notice to the worker process at ``address`` to simulate a reboot."""
 
     address: str
     seconds: float
 
 
 class Fleet:
-    """The VMs, and the list as it was seen at each change.
+    """The VMs, and a snapshot of their list at each change.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
         vms: Iterable[Mapping[str, Any]] = (),
         *,
         lag: float = 0.0,
-        reboot_seconds: float = DEFAULT_REBOOT,
+        reboot_seconds: float = DEFAULT_REBOOT_SECONDS,
         now: float = 0.0,
     ) -> None:
         self.lag = lag
@@ -54,14 +54,14 @@
         self._snapshots = [(now, tuple(self.live.values()))]
 
     def list_vms(self, now: float) -> tuple[float, tuple[machines.Machine, ...]]:
-        """Return the moment that the list shows, and its VMs."""
+        """Return the time of the listed snapshot, and its VMs."""
         as_of = now - self.lag
         while len(self._snapshots) > 1 and self._snapshots[1][0] <= as_of:
             self._snapshots.pop(0)
         return max(as_of, self._snapshots[0][0]), self._snapshots[0][1]
 
     def reboot(self, vm: str, boot: int, now: float) -> bool:
-        """Begin a reboot; true when it began, goes on or is already done."""
+        """Start a reboot; return whether it started, is in progress or is done."""
         if vm in self._rebooting:
             return boot <= self._rebooting[vm][1].boot - 1
         machine = self.live.get(vm)
@@ -70,20 +70,20 @@
         if boot < machine.boot:
             return True
         del self.live[vm]
-        back = now + self.reboot_seconds
-        renewed = machine._replace(boot=boot + 1, state=machines.MachineState.LIVE)
-        self._rebooting[vm] = (back, renewed)
+        returns_at = now + self.reboot_seconds
+        rebooted = machine._replace(boot=boot + 1, state=machines.MachineState.LIVE)
+        self._rebooting[vm] = (returns_at, rebooted)
         self.notices.append(Notice(machine.address, self.reboot_seconds))
-        self._record(now)
+        self._take_snapshot(now)
         return True
 
     def change(self, body: Mapping[str, Any], now: float) -> None:
-        """Apply a test's change: add, remove, leaving, never_back, failing.
+        """Apply changes of a test, named by the keys of ``body``.
 
         Raises
         ------
         ValueError
-            For an unknown change.
+            If a change is unknown.
         """
         for name, value in body.items():
             if name == "add":
@@ -105,19 +105,19 @@
                 self.lag = float(value)
             else:
                 raise ValueError(f"fleet change {name!r} is unknown")
-        self._record(now)
+        self._take_snapshot(now)
 
     def advance(self, now: float) -> None:
-        """Bring back the VMs whose reboot has ended by ``now``."""
+        """Add the VMs whose reboot has ended by ``now`` to the list again."""
         due = sorted(
-            (back, vm)
-            for vm, (back, _) in self._rebooting.items()
-            if back <= now and vm not in self.never_back
+            (returns_at, vm)
+            for vm, (returns_at, _) in self._rebooting.items()
+            if returns_at <= now and vm not in self.never_back
         )
-        for back, vm in due:
+        for returns_at, vm in due:
             _, machine = self._rebooting.pop(vm)
             self.live[vm] = machine
-            self._record(back)
+            self._take_snapshot(returns_at)
 
-    def _record(self, now: float) -> None:
+    def _take_snapshot(self, now: float) -> None:
         self._snapshots.append((now, tuple(self.live.values())))
--- a/standins/platformtable.py
+++ b/standins/platformtable.py
@@ -1,8 +1,8 @@
 """Transactional table and object store of the platform stand-in, without I/O.
 
-Every commit moves one global revision. A row keeps the token of its last
+Every commit increments one global revision. A row keeps the token of its last
 writer, also after its deletion, so that a writer whose answer was lost can
-find out what became of its commit.
+find out whether its commit was applied.
 """
 
 import bisect
@@ -15,7 +15,7 @@
 
 
 class Entry(NamedTuple):
-    """One commit of the history, as checkers read it."""
+    """One commit of the history."""
 
     revision: int
     time: float
@@ -47,11 +47,11 @@
 
     def read(self, keys: Sequence[str]) -> list[table.Row]:
         """Return one row per key; absent rows have version 0."""
-        return [self._present(key) for key in keys]
+        return [self._get_row(key) for key in keys]
 
     def scan(self, prefix: str, since: int) -> list[table.Row]:
-        """Return rows under a prefix changed after ``since``, by key order."""
-        found = []
+        """Return the rows under a prefix that changed after ``since``, by key."""
+        rows = []
         for key in self._keys[bisect.bisect_left(self._keys, prefix) :]:
             if not key.startswith(prefix):
                 break
@@ -60,8 +60,8 @@
                 continue
             if row.value is None and since == 0:
                 continue
-            found.append(row)
-        return found
+            rows.append(row)
+        return rows
 
     def commit(
         self,
@@ -73,11 +73,11 @@
         daemon: str = "",
         purpose: str = "",
     ) -> tuple[table.Row, ...]:
-        """Commit if all conditions hold; return the rows that failed theirs."""
+        """Commit if all conditions hold; return the rows that violate theirs."""
         conflicts = tuple(
             row
             for row, condition in (
-                (self._present(condition.key), condition) for condition in conditions
+                (self._get_row(condition.key), condition) for condition in conditions
             )
             if row.version != condition.version
         )
@@ -99,7 +99,7 @@
         )
         return ()
 
-    def _present(self, key: str) -> table.Row:
+    def _get_row(self, key: str) -> table.Row:
         row = self._rows.get(key)
         if row is None:
             return table.Row(key, None, 0)
--- a/standins/platformtasks.py
+++ b/standins/platformtasks.py
@@ -1,8 +1,8 @@
 """Worker tasks of the platform stand-in, without I/O.
 
-A task's ``work`` tells what it truly does: ``duration`` (seconds at full
+A task's ``work`` describes its simulated behaviour: ``duration`` (seconds at full
 speed), ``cores``, ``memory`` (GB, reached at half its progress), ``fails``
-(at half its progress) and ``progress`` (where it starts, 0 to 1).
+(at half its progress) and ``progress`` (initial value, 0 to 1).
 """
 
 import dataclasses
@@ -16,14 +16,14 @@
 THROTTLED_SPEED = 0.25
 """Share of full speed at which a throttled task runs."""
 FAILING_VM_SECONDS = 0.1
-"""Seconds after which a VM that fails everything fails a task."""
-HALF = 0.5
+"""Run time after which a VM that fails all its tasks fails a task."""
+HALF_PROGRESS = 0.5
 ACTIVE = (tasks.TaskState.RUNNING, tasks.TaskState.THROTTLED)
 
 
 @dataclasses.dataclass
 class Execution:
-    """One task and what it truly did; times in seconds since the Unix epoch."""
+    """Execution of one task; times in seconds since the Unix epoch."""
 
     spec: tasks.TaskSpec
     fence: int
@@ -39,7 +39,7 @@
     )
 
     def work(self, name: str, default: float) -> float:
-        """Return a number of the task's work."""
+        """Return a numeric field of the task's ``work``."""
         return float(self.spec.work.get(name, default))
 
     @property
@@ -56,12 +56,12 @@
     @property
     def memory(self) -> float:
         """Memory in use, GB."""
-        truth = self.work("memory", self.spec.memory)
-        return truth * min(1.0, self.progress / HALF)
+        actual_memory = self.work("memory", self.spec.memory)
+        return actual_memory * min(1.0, self.progress / HALF_PROGRESS)
 
 
 class Scheduler:
-    """Tasks under leases, and the log of all that ran.
+    """Tasks under leases, and the log of all executions.
 
     Parameters
     ----------
@@ -72,19 +72,19 @@
     def __init__(self, *, lag: float = 0.0) -> None:
         self.lag = lag
         self.executions: dict[str, Execution] = {}
-        self._unended: dict[str, Execution] = {}
+        self._unfinished: dict[str, Execution] = {}
         self._fences: dict[str, int] = {}
 
     def start(self, spec: tasks.TaskSpec, live: Collection[str], now: float) -> str:
-        """Start a task once; return why it was refused, or an empty text."""
+        """Start a task once; return the reason of a refusal, or an empty string."""
         if spec.fence < self._fences.get(spec.task, 0):
             return "fence"
-        known = self.executions.get(spec.task)
-        if known is None and spec.vm not in live:
+        existing = self.executions.get(spec.task)
+        if existing is None and spec.vm not in live:
             return "vm"
         self._fences[spec.task] = spec.fence
-        if known is not None:
-            known.fence = spec.fence
+        if existing is not None:
+            existing.fence = spec.fence
             return ""
         execution = Execution(
             spec,
@@ -94,11 +94,11 @@
             progress=float(spec.work.get("progress", 0.0)),
             updated=now,
         )
-        self.executions[spec.task] = self._unended[spec.task] = execution
+        self.executions[spec.task] = self._unfinished[spec.task] = execution
         return ""
 
     def renew(self, names: Sequence[str], fence: int, lease: float, now: float) -> str:
-        """Extend the leases of all named tasks, or none."""
+        """Extend the leases of all named tasks, or of none if one is fenced."""
         if any(fence < self._fences.get(name, 0) for name in names):
             return "fence"
         for name in names:
@@ -109,7 +109,7 @@
         return ""
 
     def control(self, name: str, action: str, fence: int, now: float) -> str:
-        """Apply an action; return why it was refused, or an empty text."""
+        """Apply an action; return the reason of a refusal, or an empty string."""
         execution = self.executions.get(name)
         if execution is None:
             return "task"
@@ -132,8 +132,8 @@
         return ""
 
     def advance(self, now: float, live: Collection[str], failing: Collection[str]):
-        """Bring all running tasks up to ``now``."""
-        for execution in list(self._unended.values()):
+        """Advance all running tasks to ``now``."""
+        for execution in list(self._unfinished.values()):
             self._advance(execution, now, live, failing)
 
     def list_tasks(self, vms: Collection[str], now: float) -> list[tasks.Task]:
@@ -145,18 +145,18 @@
         ]
 
     def log(self) -> list[dict[str, Any]]:
-        """Return every execution with start and end: the ground truth."""
+        """Return all executions with start and end: the ground truth of checks."""
         return [
             {
-                "task": item.spec.task,
-                "vm": item.spec.vm,
-                "started": item.started,
-                "ended": item.ended,
-                "state": item.state.value,
-                "reason": item.reason,
-                "fence": item.fence,
+                "task": execution.spec.task,
+                "vm": execution.spec.vm,
+                "started": execution.started,
+                "ended": execution.ended,
+                "state": execution.state.value,
+                "reason": execution.reason,
+                "fence": execution.fence,
             }
-            for item in self.executions.values()
+            for execution in self.executions.values()
         ]
 
     def _advance(
@@ -169,18 +169,18 @@
         if execution.spec.vm not in live:
             self._end(execution, tasks.TaskState.FAILED, "vm lost", now)
             return
-        moment, state, reason = min(
-            self._ends(execution, failing), key=lambda end: end[0]
+        ended_at, state, reason = min(
+            self._list_possible_ends(execution, failing), key=lambda end: end[0]
         )
-        reached = min(moment, now)
-        elapsed = max(0.0, reached - execution.updated)
+        until = min(ended_at, now)
+        elapsed = max(0.0, until - execution.updated)
         execution.progress = min(1.0, execution.progress + execution.speed * elapsed)
-        execution.updated = max(reached, execution.updated)
+        execution.updated = max(until, execution.updated)
         self._sample(execution, execution.updated)
-        if moment <= now:
-            self._end(execution, state, reason, moment)
+        if ended_at <= now:
+            self._end(execution, state, reason, ended_at)
 
-    def _ends(
+    def _list_possible_ends(
         self, execution: Execution, failing: Collection[str]
     ) -> list[tuple[float, tasks.TaskState, str]]:
         failed = tasks.TaskState.FAILED
@@ -195,10 +195,10 @@
             return execution.updated + left / execution.speed
 
         if execution.spec.work.get("fails"):
-            ends.append((reach(HALF), failed, "task failed"))
-        truth = execution.work("memory", execution.spec.memory)
-        if truth > execution.spec.memory:
-            limit = HALF * execution.spec.memory / truth
+            ends.append((reach(HALF_PROGRESS), failed, "task failed"))
+        actual_memory = execution.work("memory", execution.spec.memory)
+        if actual_memory > execution.spec.memory:
+            limit = HALF_PROGRESS * execution.spec.memory / actual_memory
             ends.append((reach(limit), failed, "out of memory"))
         ends.append((reach(1.0), tasks.TaskState.FINISHED, ""))
         return ends
@@ -209,8 +209,8 @@
         used = min(cores, execution.spec.cores)
         memory = execution.memory if active else 0.0
         execution.samples.append((now, used, memory, execution.progress))
-        old = now - self.lag
-        while len(execution.samples) > 1 and execution.samples[1][0] <= old:
+        oldest = now - self.lag
+        while len(execution.samples) > 1 and execution.samples[1][0] <= oldest:
             execution.samples.pop(0)
 
     def _end(
@@ -221,21 +221,21 @@
         execution.state = state
         execution.reason = reason
         execution.ended = now
-        del self._unended[execution.spec.task]
+        del self._unfinished[execution.spec.task]
         self._sample(execution, now)
 
     def _report(self, execution: Execution, now: float) -> tasks.Task:
-        seen = (0.0, 0.0, 0.0, 0.0)
+        reported = (0.0, 0.0, 0.0, 0.0)
         for sample in execution.samples:
             if sample[0] <= now - self.lag:
-                seen = sample
+                reported = sample
         return tasks.Task(
             execution.spec.task,
             execution.spec.vm,
             execution.state,
-            seen[1],
-            seen[2],
-            seen[3],
+            reported[1],
+            reported[2],
+            reported[3],
             execution.reason,
             execution.fence,
         )
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,13 +1,13 @@
 """Relay between daemons as a process: ``python -m standins.relay --control PORT``.
 
 Daemons advertise the relay's ports, so that each link between two of them can
-be cut or frozen by itself. A link is known by the sender named in the first
-frame of a connection. Each line sent to the control port is a JSON object:
+be cut or frozen separately. A link is identified by the sender that the first
+frame of a connection names. Each line sent to the control port is a JSON object:
 
 - ``{"add": [NAME, LISTEN, TARGET]}``: listen for the daemon NAME;
 - ``{"link": [SENDER, RECEIVER, STATE]}``: ``open``, ``cut`` or ``frozen``.
 
-Each is answered with the line ``done``. SIGTERM ends the process.
+Each line is answered with the line ``done``. SIGTERM stops the process.
 """
 
 import argparse
@@ -24,8 +24,8 @@
 
 __all__ = ["Link", "Relay", "run"]
 
-CHUNK = 65536
-LINE_LIMIT = 4096
+CHUNK_BYTES = 65536
+MAX_LINE_BYTES = 4096
 
 
 class Link(enum.Enum):
@@ -35,11 +35,11 @@
     CUT = "cut"
     """Connections are closed."""
     FROZEN = "frozen"
-    """Connections stay; bytes are held back until the link is open."""
+    """Connections stay open; bytes are withheld until the link is open again."""
 
 
 class Relay:
-    """Passes connections on, link by link."""
+    """Forwards connections according to the state of their link."""
 
     def __init__(self) -> None:
         self._states: dict[tuple[str, str], Link] = {}
@@ -57,12 +57,12 @@
         async with stream:
             with contextlib.suppress(anyio.EndOfStream, anyio.IncompleteRead):
                 while True:
-                    line = await reader.receive_until(b"\n", LINE_LIMIT)
-                    for name, given in json.loads(line).items():
+                    line = await reader.receive_until(b"\n", MAX_LINE_BYTES)
+                    for name, arguments in json.loads(line).items():
                         if name == "add":
-                            await group.start(self._listen, *given)
+                            await group.start(self._listen, *arguments)
                         else:
-                            self.switch(given[0], given[1], Link(given[2]))
+                            self.switch(arguments[0], arguments[1], Link(arguments[2]))
                     await stream.send(b"done\n")
 
     async def _listen(
@@ -77,7 +77,7 @@
                 anyio.ClosedResourceError,
             ):
                 async with stream:
-                    await self._pass(stream, name, target)
+                    await self._forward(stream, name, target)
 
         listener = await anyio.create_tcp_listener(
             local_host="127.0.0.1", local_port=port
@@ -86,31 +86,31 @@
             task_status.started()
             await listener.serve(serve)
 
-    async def _pass(self, stream: Any, receiver: str, target: int) -> None:
+    async def _forward(self, stream: Any, receiver: str, target: int) -> None:
         reader = buffered.BufferedByteReceiveStream(stream)
         header = await reader.receive_exactly(codec.HEADER_SIZE)
         body = await reader.receive_exactly(codec.read_size(header))
         sender = codec.decode(exchange.REGISTRY, body).sender
         data = header + body
-        outward = None
+        outgoing = None
         try:
-            while await self._await_open(sender, receiver):
-                if outward is None:
-                    outward = await anyio.connect_tcp("127.0.0.1", target)
-                await outward.send(data)
+            while await self._wait_until_open(sender, receiver):
+                if outgoing is None:
+                    outgoing = await anyio.connect_tcp("127.0.0.1", target)
+                await outgoing.send(data)
                 data = await self._receive(reader, sender, receiver)
         finally:
-            if outward is not None:
-                await anyio.aclose_forcefully(outward)
+            if outgoing is not None:
+                await anyio.aclose_forcefully(outgoing)
 
     async def _receive(self, reader: Any, sender: str, receiver: str) -> bytes:
-        """Return the next bytes; none when the link is cut meanwhile."""
+        """Return the next bytes; raise `anyio.EndOfStream` if the link is cut."""
         data = b""
 
         async def read() -> None:
             nonlocal data
             with contextlib.suppress(anyio.EndOfStream):
-                data = await reader.receive(CHUNK)
+                data = await reader.receive(CHUNK_BYTES)
             group.cancel_scope.cancel()
 
         async with anyio.create_task_group() as group:
@@ -122,7 +122,7 @@
             raise anyio.EndOfStream
         return data
 
-    async def _await_open(self, sender: str, receiver: str) -> bool:
+    async def _wait_until_open(self, sender: str, receiver: str) -> bool:
         while True:
             state = self._states.get((sender, receiver), Link.OPEN)
             if state is not Link.FROZEN:
@@ -140,7 +140,7 @@
 
 
 def run() -> None:
-    """Read the options and serve."""
+    """Parse the options and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--control", type=int, required=True)
     anyio.run(serve, parser.parse_args().control)
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -1,7 +1,8 @@
-"""The platform's row store in process: transactions, ranges and feeds.
+"""In-process row store of the platform: transactions, ranges and feeds.
 
-Implements `wigeonhitch.platform.rows.RowStore` with one counter of versions,
-and the faults that tests switch on: away, answers lost, history dropped.
+Implements `wigeonhitch.platform.rows.RowStore` with one version counter, and
+faults that tests switch on: unavailability, lost answers, deferred transactions
+and an expired history.
 """
 
 import time
@@ -23,15 +24,15 @@
     Attributes
     ----------
     is_down : bool
-        Calls are refused, nothing is done.
+        Calls are refused without effect.
     lost_answers : int
-        So many of the next transactions are done without an answer.
+        Number of the next transactions that are applied without an answer.
     deferred : list of rows.Transaction
-        Transactions that were held back; `apply_deferred` carries them out.
+        Transactions that were deferred; `apply_deferred` applies them.
     deferred_commits : int
-        So many of the next transactions are held back, without an answer.
+        Number of the next transactions that are deferred, without an answer.
     allows_cross_part : bool
-        Whether transactions may go over several parts; others are refused.
+        Whether a transaction may span several parts; otherwise it is refused.
     """
 
     def __init__(self) -> None:
@@ -48,7 +49,7 @@
         self._changed = anyio.Event()
 
     def put(self, name: str, part: str, key: str, value: bytes | None) -> None:
-        """Write a row as an operator or a worker does."""
+        """Write a row unconditionally, as operators and workers do."""
         self._apply(rows.Transaction((), (rows.Write(name, part, key, value),)))
 
     def get(self, name: str, part: str, key: str) -> bytes | None:
@@ -57,33 +58,33 @@
         return row.value if row else None
 
     def expire_history(self) -> None:
-        """Drop all changes: feeds from before have expired."""
+        """Drop all changes, so that feeds from earlier versions expire."""
         self.oldest = self.version
         self._changes.clear()
 
     def apply_deferred(self) -> list[rows.Change]:
-        """Carry out what was held back."""
-        held, self.deferred = self.deferred, []
-        return [self._apply(one) for one in held]
+        """Apply the deferred transactions."""
+        deferred, self.deferred = self.deferred, []
+        return [self._apply(change) for change in deferred]
 
     async def commit(self, change: rows.Transaction, *, timeout: float) -> rows.Change:
-        """Make one attempt."""
+        """Make one attempt to commit a transaction."""
         await anyio.lowlevel.checkpoint()
         self.calls += 1
         if self.is_down:
             return rows.Change(NOT_DONE, reason="down")
-        parts = {one.part for one in (*change.conditions, *change.writes)}
+        parts = {item.part for item in (*change.conditions, *change.writes)}
         if len(parts) > 1 and not self.allows_cross_part:
             return rows.Change(NOT_DONE, reason="status 400")
         if self.deferred_commits:
             self.deferred_commits -= 1
             self.deferred.append(change)
             return rows.Change(UNKNOWN, reason="timeout")
-        done = self._apply(change)
+        result = self._apply(change)
         if self.lost_answers:
             self.lost_answers -= 1
             return rows.Change(UNKNOWN, reason="timeout")
-        return done
+        return result
 
     async def read(
         self,
@@ -100,13 +101,13 @@
         self.calls += 1
         if self.is_down:
             return rows.Range(NOT_DONE, reason="down")
-        found = sorted(
+        rows_in_range = sorted(
             row
             for (name, of, key), row in self._rows.items()
             if (name, of) == (table, part) and key >= first and (not last or key < last)
         )
-        kept = tuple(found[:limit] if limit else found)
-        return rows.Range(DONE, kept, self.version, "", *read_times())
+        selected = tuple(rows_in_range[:limit] if limit else rows_in_range)
+        return rows.Range(DONE, selected, self.version, "", *read_times())
 
     async def follow(
         self, table: str, after: int, *, wait: float, timeout: float
@@ -135,12 +136,14 @@
         )
 
     def _list_changes(self, name: str, after: int) -> list[rows.Row]:
-        return [r for r in self._changes if r.table == name and r.version > after]
+        return [
+            row for row in self._changes if row.table == name and row.version > after
+        ]
 
     def _apply(self, change: rows.Transaction) -> rows.Change:
-        for one in change.conditions:
-            row = self._rows.get((one.table, one.part, one.key))
-            if (row.version if row else 0) != one.version:
+        for condition in change.conditions:
+            row = self._rows.get((condition.table, condition.part, condition.key))
+            if (row.version if row else 0) != condition.version:
                 return rows.Change(
                     NOT_DONE, 0, self._list_conflicts(change), "conflict"
                 )
@@ -157,11 +160,11 @@
         return rows.Change(DONE, self.version, (), "", *read_times())
 
     def _list_conflicts(self, change: rows.Transaction) -> tuple[rows.Row, ...]:
-        keys = [one[:3] for one in change.conditions]
+        keys = [condition[:3] for condition in change.conditions]
         return tuple(self._rows[key] for key in keys if key in self._rows)
 
 
 def read_times() -> tuple[float, float, float]:
-    """Return the store's steady clock, and when a call was sent and answered."""
+    """Return the store's monotonic clock, and the times of sending and answer."""
     now = time.clock_gettime(time.CLOCK_BOOTTIME)
     return now + 1000.0, now, now
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving of a stand-in process: listeners, ``ready``, the end by SIGTERM."""
+"""HTTP serving of a stand-in process until SIGTERM."""
 
 import signal
 from collections.abc import Callable, Sequence
@@ -14,11 +14,11 @@
 
 __all__ = ["read_body", "serve", "serve_lifespan"]
 
-KEEP_ALIVE = 300.0
-"""Seconds that idle connections stay open, longer than any client keeps one:
-a connection closed under a request would look like a fault of the daemon."""
-GRACE = 0.2
-"""Seconds that open connections get at the end."""
+KEEP_ALIVE_SECONDS = 300.0
+"""Time that idle connections stay open: longer than any client keeps one, since a
+connection closed during a request would look like a fault of the daemon."""
+SHUTDOWN_GRACE_SECONDS = 0.2
+"""Time that open connections get to finish at shutdown."""
 
 serve_lifespan = asgi.serve_lifespan
 
@@ -35,18 +35,18 @@
     application : ASGI application
     ports : sequence of int
     start : callable
-        Starts further tasks in the group that is given to it.
+        Starts further tasks in the task group that is passed to it.
     """
     stopped = anyio.Event()
     async with anyio.create_task_group() as group:
-        group.start_soon(_await_signal, stopped)
-        group.start_soon(_announce, ports[0])
+        group.start_soon(_wait_for_signal, stopped)
+        group.start_soon(_print_ready, ports[0])
         start(group)
         group.start_soon(_serve_http, application, ports, stopped, group)
 
 
 async def read_body(receive: Any) -> bytes:
-    """Return a request's body; what came of it if it broke off."""
+    """Return a request's body, or its received part if the client disconnected."""
     parts = []
     while True:
         event = await receive()
@@ -61,28 +61,28 @@
     stopped: anyio.Event,
     group: anyio.abc.TaskGroup,
 ) -> None:
-    """Serve until ``stopped``, then end all tasks.
+    """Serve until ``stopped`` is set, then cancel all tasks.
 
-    This is a task of its own: hypercorn cancels the task it serves in when it
-    shuts down, which must not reach the task group.
+    This runs in a separate task: hypercorn cancels the task that it serves in when
+    it shuts down, which must not cancel the task group.
     """
     config = hypercorn.config.Config()
     config.bind = [f"127.0.0.1:{port}" for port in ports]
-    config.graceful_timeout = GRACE
-    config.keep_alive_timeout = KEEP_ALIVE
+    config.graceful_timeout = SHUTDOWN_GRACE_SECONDS
+    config.keep_alive_timeout = KEEP_ALIVE_SECONDS
     config.errorlog = None
     config.accesslog = None
     await hypercorn.asyncio.serve(application, config, shutdown_trigger=stopped.wait)
     group.cancel_scope.cancel()
 
 
-async def _announce(port: int) -> None:
+async def _print_ready(port: int) -> None:
     """Print ``ready`` once the port accepts connections."""
     await server.wait_until_listening(f"127.0.0.1:{port}")
     print("ready", flush=True)
 
 
-async def _await_signal(stopped: anyio.Event) -> None:
+async def _wait_for_signal(stopped: anyio.Event) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             stopped.set()
--- a/standins/siteworker.py
+++ b/standins/siteworker.py
@@ -1,9 +1,9 @@
-"""A worker in process: runs tasks under leases and a fencing token.
+"""In-process worker that runs tasks under a lease and a fencing token.
 
-It follows what the users' platform says of its workers: a lower token changes
-nothing, a start after its deadline is refused, everything ends when the lease
-runs out on the worker's own clock, and ends are listed until they are noted.
-What happens is written into a list that history checks read.
+It follows the contract of the platform's workers: a call with a lower token has
+no effect, a start after its deadline is refused, all runs end when the lease
+expires on the worker's own clock, and ends are listed until they are
+acknowledged. All events are appended to a list for checks of the history.
 """
 
 import random
@@ -18,10 +18,10 @@
 
 
 class Event(NamedTuple):
-    """Something that happened on a worker.
+    """Event on a worker.
 
-    ``kind`` is "start", "end", "noted", or "noted late" for an end after which
-    the worker's lease ran out before it was noted.
+    ``kind`` is "start", "end", "noted" for an end that was acknowledged, or "noted
+    late" if the worker's lease expired between the end and its acknowledgement.
     """
 
     time: float
@@ -40,16 +40,16 @@
 
 
 class Worker:
-    """One life of a worker.
+    """One incarnation of a worker.
 
     Parameters
     ----------
     id : str
-        Name of this life.
+        Name of this incarnation.
     events : list of Event
-        Takes what happens.
+        List that events are appended to.
     drift : float
-        How much slower the worker's clock runs; at most 0.02.
+        Fraction by which the worker's clock runs slower; at most 0.02.
     """
 
     def __init__(
@@ -74,34 +74,34 @@
         self._offset = rng.uniform(0, 1000)
         self._fence = 0
         self._deadline = 0.0
-        self._barred: dict[model.Task, int] = {}
+        self._max_refused_run: dict[model.Task, int] = {}
         self._ended: list[workers.Ended] = []
-        self._number = 0
-        self._lapses = 0
-        self._is_lapsed = False
-        self._lapses_at: dict[int, int] = {}
+        self._last_end = 0
+        self._expiry_count = 0
+        self._is_expired = False
+        self._expiry_count_at_end: dict[int, int] = {}
 
     def read_clock(self, now: float) -> float:
-        """Return the worker's own clock at true time ``now``."""
+        """Return the worker's own clock at the time ``now``."""
         return self._offset + now * (1 - self._drift)
 
     def advance(self, now: float) -> None:
-        """Let time pass: runs end by themselves or with the lease."""
+        """Advance to ``now``: end runs that are complete or whose lease expired."""
         if not self.alive:
             return
-        ends = (self._deadline - self._offset) / (1 - self._drift)
+        expires_at = (self._deadline - self._offset) / (1 - self._drift)
         for run in list(self.runs.values()):
-            if run.ends_at <= min(now, ends):
+            if run.ends_at <= min(now, expires_at):
                 self._end(run, run.outcome, now)
-        lapsed = now > ends
-        self._lapses += lapsed and not self._is_lapsed
-        self._is_lapsed = lapsed
+        expired = now > expires_at
+        self._expiry_count += expired and not self._is_expired
+        self._is_expired = expired
         for run in list(self.runs.values()):
-            if lapsed:
+            if expired:
                 self._end(run, model.End.LAPSED, now)
 
     def crash(self, now: float) -> None:
-        """End this life with all that runs."""
+        """End this incarnation and all its runs."""
         for run in list(self.runs.values()):
             self.events.append(
                 Event(now, "end", self.id, run.task, run.number, "crashed")
@@ -110,50 +110,50 @@
         self.alive = False
 
     def start(self, order: workers.Start, now: float) -> workers.Verdict:
-        """Carry out a start."""
+        """Start a run."""
         if order.fence < self._fence:
             return workers.Verdict.FENCED
         self._fence = order.fence
         self._extend(order.deadline, now)
         if order.deadline < self.read_clock(now):
             return workers.Verdict.LATE
-        present = self.runs.get(order.task)
-        if present is not None and present.number == order.run:
+        current = self.runs.get(order.task)
+        if current is not None and current.number == order.run:
             return workers.Verdict.DONE
-        if order.run <= self._barred.get(order.task, 0) or present is not None:
+        if order.run <= self._max_refused_run.get(order.task, 0) or current is not None:
             return workers.Verdict.OLD
-        length, how = self.draw_end(order)
-        self.runs[order.task] = _Run(order.task, order.run, now + length, how)
+        duration, outcome = self.draw_end(order)
+        self.runs[order.task] = _Run(order.task, order.run, now + duration, outcome)
         self.events.append(Event(now, "start", self.id, order.task, order.run))
         return workers.Verdict.DONE
 
     def draw_end(self, order: workers.Start) -> tuple[float, model.End]:
-        """Return after how many seconds a run ends, and how."""
+        """Return after how many seconds a run ends, and its outcome."""
         failed = self._rng.random() < self._failure_rate
-        how = model.End.FAILED if failed else model.End.DONE
+        outcome = model.End.FAILED if failed else model.End.DONE
         return (
             1e9
             if self.lasting
             else self._rng.uniform(0.2, 1.0) * self._max_work_seconds
-        ), how
+        ), outcome
 
     def stop(
         self, task: model.Task, run: int, fence: int, now: float
     ) -> workers.Verdict:
-        """Stop a run; one that isn't there yet will be refused."""
+        """Stop a run; if it hasn't started yet, refuse a later start."""
         if fence < self._fence:
             return workers.Verdict.FENCED
         self._fence = fence
-        self._barred[task] = max(run, self._barred.get(task, 0))
-        present = self.runs.get(task)
-        if present is not None and present.number <= run:
-            self._end(present, model.End.STOPPED, now)
+        self._max_refused_run[task] = max(run, self._max_refused_run.get(task, 0))
+        current = self.runs.get(task)
+        if current is not None and current.number <= run:
+            self._end(current, model.End.STOPPED, now)
         return workers.Verdict.DONE
 
     def hold(
         self, fence: int, deadline: float | None, last_seen: int, now: float
     ) -> tuple[workers.Verdict, tuple[workers.Running, ...], tuple[workers.Ended, ...]]:
-        """Renew the lease; list what runs and what ended."""
+        """Renew the lease; return the current runs and the unacknowledged ends."""
         if fence < self._fence:
             return workers.Verdict.FENCED, (), ()
         self._fence = fence
@@ -161,10 +161,10 @@
             self._extend(deadline, now)
         for end in self._ended:
             if end.number <= last_seen:
-                # An end doesn't count if the lease has run out since.
-                late = self._lapses_at[end.number] != self._lapses
-                what = "noted late" if late else "noted"
-                event = Event(now, what, self.id, end.task, end.run, end.end.value)
+                # An end doesn't count if the lease has expired since.
+                is_late = self._expiry_count_at_end[end.number] != self._expiry_count
+                kind = "noted late" if is_late else "noted"
+                event = Event(now, kind, self.id, end.task, end.run, end.end.value)
                 self.events.append(event)
         self._ended = [end for end in self._ended if end.number > last_seen]
         running = tuple(
@@ -174,14 +174,18 @@
         return workers.Verdict.DONE, running, tuple(self._ended)
 
     def _extend(self, deadline: float, now: float) -> None:
-        most = self.read_clock(now) + MAX_LEASE_SECONDS
-        self._deadline = max(self._deadline, min(deadline, most))
+        latest = self.read_clock(now) + MAX_LEASE_SECONDS
+        self._deadline = max(self._deadline, min(deadline, latest))
 
-    def _end(self, run: _Run, how: model.End, now: float) -> None:
+    def _end(self, run: _Run, outcome: model.End, now: float) -> None:
         del self.runs[run.task]
-        self._number += 1
-        self._lapses_at[self._number] = self._lapses
-        ended = workers.Ended(self._number, run.task, run.number, how, "")
+        self._last_end += 1
+        self._expiry_count_at_end[self._last_end] = self._expiry_count
+        ended = workers.Ended(self._last_end, run.task, run.number, outcome, "")
         self._ended.append(ended)
-        self._barred[run.task] = max(run.number, self._barred.get(run.task, 0))
-        self.events.append(Event(now, "end", self.id, run.task, run.number, how.value))
+        self._max_refused_run[run.task] = max(
+            run.number, self._max_refused_run.get(run.task, 0)
+        )
+        self.events.append(
+            Event(now, "end", self.id, run.task, run.number, outcome.value)
+        )
--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,9 +1,10 @@
-"""Randomized fault soak: whole daemons as processes, faults from outside.
+"""Randomized fault soak: whole daemons as processes, external faults.
 
 ``python -m standins.soak.main --seeds 50`` starts the daemons of a site on
-loopback, each behind relays of its own, lets callers submit jobs while links,
-processes, workers and the store misbehave, and checks what callers and workers
-saw. ``seeds.yaml`` keeps each seed that ever failed.
+loopback, each behind its own relays, lets callers submit jobs while faults are
+injected into links, processes, workers and the store, and checks the outcomes
+that callers and workers recorded. ``seeds.yaml`` lists each seed that ever
+failed.
 """
 
 __all__: list[str] = []
--- a/standins/soak/application.py
+++ b/standins/soak/application.py
@@ -1,4 +1,4 @@
-"""ASGI application of the platform and of all workers."""
+"""ASGI application of the platform and all workers."""
 
 from typing import Any
 from urllib import parse
@@ -13,16 +13,16 @@
 
 
 class Application:
-    """Sends each call to the store, to the VMs or to one worker.
+    """Dispatches each call to the store, the VMs or one worker.
 
     Parameters
     ----------
     rows : store.Store
         Answers the store's calls.
     vms : vmfleet.VmFleet
-        Answers calls on VMs and to workers.
+        Answers calls about VMs and calls to workers.
     workers : dict of int to vmfleet.Vm
-        By the port that a worker listens on.
+        VMs by the port that their worker listens on.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         body = await _read_body(receive)
         answer = store.Answer(0)
         async with anyio.create_task_group() as group:
-            group.start_soon(_watch, receive, group.cancel_scope)
+            group.start_soon(_cancel_on_disconnect, receive, group.cancel_scope)
             answer = await self._answer(scope, orjson.loads(body) if body else None)
             if not answer.status:
                 await anyio.sleep_forever()
@@ -79,8 +79,8 @@
             return b"".join(parts)
 
 
-async def _watch(receive: Any, scope: anyio.CancelScope) -> None:
-    """Give a call up once its caller has gone."""
+async def _cancel_on_disconnect(receive: Any, scope: anyio.CancelScope) -> None:
+    """Cancel a call once its caller has disconnected."""
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
--- a/standins/soak/caller.py
+++ b/standins/soak/caller.py
@@ -1,8 +1,7 @@
-"""Callers of a site: they submit jobs, ask for them and cancel some.
+"""Callers of a site, which submit jobs, query them and cancel some.
 
-A caller keeps its connections until the process at the other end is gone, and
-repeats a request under the same id at another daemon when it doesn't know what
-came of it.
+A caller keeps its connections until the process at the other end exits, and
+repeats a request of unknown outcome with the same id at another daemon.
 """
 
 import random
@@ -18,32 +17,32 @@
 
 __all__ = ["Call", "Callers", "SubmittedJob"]
 
-TIMEOUT = 3.0
-"""Seconds that a caller waits for an answer."""
+TIMEOUT_SECONDS = 3.0
+"""Time that a caller waits for an answer."""
 
-TRIES = 5
-"""Times that a caller tries to hand a job in."""
+MAX_SUBMISSIONS = 5
+"""Maximum number of attempts of a caller to submit a job."""
 
-SECONDS = (0.1, 0.8)
-"""Shortest and longest work of a task."""
+TASK_SECONDS = (0.1, 0.8)
+"""Range of the duration of a task."""
 
-AT_CLAIMS = 4
-"""Jobs handed in to a pool that has just been claimed."""
+JOBS_PER_CLAIM = 4
+"""Jobs that are submitted to a pool that has just been claimed."""
 
-WITHIN = 0.4
-"""Seconds after a claim within which they are handed in."""
+MAX_CLAIM_DELAY_SECONDS = 0.4
+"""Maximum time from a claim to the submission of these jobs."""
 
-LOOK = 0.005
-"""Seconds between two looks at whether a pool was claimed."""
+POLL_SECONDS = 0.005
+"""Interval of checks whether a pool was claimed."""
 
-ASK_EVERY = 0.7
-"""Seconds between two questions of one caller about its job."""
+QUERY_SECONDS = 0.7
+"""Mean interval at which a caller queries its job."""
 
 
 class Call(NamedTuple):
-    """One request and what came of it; status 0: no whole answer.
+    """One request and its outcome; status 0 means that no complete answer arrived.
 
-    ``broke`` is set when the connection was open and ended without an answer.
+    ``error_name`` is set if the connection was open and ended without an answer.
     """
 
     daemon: str
@@ -53,12 +52,12 @@
     job: str
     status: int
     body: Any
-    has_time: bool = False
-    broke: str = ""
+    has_retry_after: bool = False
+    error_name: str = ""
 
 
 class SubmittedJob:
-    """A job as its caller knows it."""
+    """State of a job as its caller knows it."""
 
     def __init__(self, id: str, queue: environment.Queue, body: dict[str, Any]) -> None:
         self.id = id
@@ -66,20 +65,20 @@
         self.body = body
         self.accepted: float | None = None
         self.refusals = 0
-        self.tries = 0
+        self.submissions = 0
         self.cancel_sent: float | None = None
         self.cancelled: float | None = None
         self.final = ""
 
     @property
-    def lasts(self) -> bool:
+    def is_lasting(self) -> bool:
         """Whether its tasks run until the job is cancelled."""
         return any(step.get("perpetual") for step in self.body["steps"])
 
     @property
     def was_refused(self) -> bool:
-        """Whether every try to hand it in was refused as not run."""
-        return self.tries > 0 and self.refusals == self.tries
+        """Whether every attempt to submit it was refused as not run."""
+        return self.submissions > 0 and self.refusals == self.submissions
 
 
 class Callers:
@@ -104,46 +103,46 @@
         self._client = client
 
     async def run(self, rate: float, seconds: float) -> None:
-        """Submit ``rate`` jobs a second for a time; ask for them meanwhile."""
+        """Submit ``rate`` jobs per second for a time, and query them."""
         async with anyio.create_task_group() as group:
             for queue in environment.QUEUES:
-                group.start_soon(self._live, self._make_job(queue, lasts=True))
+                group.start_soon(self._run_job, self._make_job(queue, is_lasting=True))
             until = http.read_clock() + seconds
             while http.read_clock() < until:
                 queue = self._rng.choice(environment.QUEUES)
-                group.start_soon(self._live, self._make_job(queue, lasts=False))
+                group.start_soon(self._run_job, self._make_job(queue, is_lasting=False))
                 await anyio.sleep(self._rng.expovariate(rate))
-            await anyio.sleep(ASK_EVERY)
+            await anyio.sleep(QUERY_SECONDS)
             group.cancel_scope.cancel()
 
     async def run_at_claims(self, seconds: float) -> None:
-        """Submit jobs for a time whenever a pool was claimed."""
-        known: dict[str, str] = {}
+        """Submit jobs whenever a pool was claimed, for a time."""
+        owners: dict[str, str] = {}
         async with anyio.create_task_group() as group:
             until = http.read_clock() + seconds
             while http.read_clock() < until:
                 for queue in environment.QUEUES:
                     owner = self._site.read_owner(queue.pool)
-                    if owner and owner != known.get(queue.pool):
-                        known[queue.pool] = owner
-                        for _ in range(AT_CLAIMS):
+                    if owner and owner != owners.get(queue.pool):
+                        owners[queue.pool] = owner
+                        for _ in range(JOBS_PER_CLAIM):
                             group.start_soon(self._submit_soon, queue)
-                await anyio.sleep(LOOK)
-            await anyio.sleep(ASK_EVERY)
+                await anyio.sleep(POLL_SECONDS)
+            await anyio.sleep(QUERY_SECONDS)
             group.cancel_scope.cancel()
 
     async def _submit_soon(self, queue: environment.Queue) -> None:
-        await anyio.sleep(self._rng.uniform(0.0, WITHIN))
-        await self._live(self._make_job(queue, lasts=False))
+        await anyio.sleep(self._rng.uniform(0.0, MAX_CLAIM_DELAY_SECONDS))
+        await self._run_job(self._make_job(queue, is_lasting=False))
 
-    async def ask(self, job: SubmittedJob) -> Call:
-        """Ask for a job's state."""
+    async def query(self, job: SubmittedJob) -> Call:
+        """Query a job's state."""
         call = await self._call("GET", job)
         if call.status == 200:
-            self._note_state(job, call)
+            self._record_state(job, call)
         return call
 
-    def _note_state(self, job: SubmittedJob, call: Call) -> None:
+    def _record_state(self, job: SubmittedJob, call: Call) -> None:
         state = model.JobState(call.body["state"])
         if state.is_final and not job.final:
             job.final = state.value
@@ -156,43 +155,43 @@
             job.cancelled = call.ended
         return call
 
-    def _make_job(self, queue: environment.Queue, lasts: bool) -> SubmittedJob:
+    def _make_job(self, queue: environment.Queue, is_lasting: bool) -> SubmittedJob:
         id = f"{self._rng.getrandbits(64):016x}"
-        if lasts:
+        if is_lasting:
             step = {"count": 3, "cpu": 500, "mem_mb": 64, "perpetual": True}
             step["may_miss"] = 1
             steps = [step]
         else:
             cpu = self._rng.choice((500, 1500, 2500))
-            one = {"count": self._rng.randint(1, 4), "cpu": cpu, "mem_mb": 64}
-            steps = [{**one, "estimate_ms": 400}]
+            step = {"count": self._rng.randint(1, 4), "cpu": cpu, "mem_mb": 64}
+            steps = [{**step, "estimate_ms": 400}]
             if self._rng.random() < 0.4:
-                steps.append({**one, "count": 1, "estimate_ms": 400, "after": [0]})
-        seconds = 1e6 if lasts else self._rng.uniform(*SECONDS)
+                steps.append({**step, "count": 1, "estimate_ms": 400, "after": [0]})
+        seconds = 1e6 if is_lasting else self._rng.uniform(*TASK_SECONDS)
         fail = self._rng.choice((0.0, 0.0, 0.1))
-        spec = f'{{"seconds":{seconds:.3f},"fail":{0.0 if lasts else fail}}}'
+        spec = f'{{"seconds":{seconds:.3f},"fail":{0.0 if is_lasting else fail}}}'
         body = {"spec": spec, "steps": steps}
-        if not lasts and self._rng.random() < 0.1:
+        if not is_lasting and self._rng.random() < 0.1:
             body["times"], body["interval_ms"] = 2, 1000
             body["start_at_ms"] = int(time.time() * 1000) + 1500
         job = SubmittedJob(id, queue, body)
         self.jobs.append(job)
         return job
 
-    async def _live(self, job: SubmittedJob) -> None:
-        """Hand a job in, perhaps cancel it, and ask until it is final."""
+    async def _run_job(self, job: SubmittedJob) -> None:
+        """Submit a job, possibly cancel it, and query it until it is final."""
         if not await self._submit(job):
             return
-        if not job.lasts and self._rng.random() < 0.15:
+        if not job.is_lasting and self._rng.random() < 0.15:
             await anyio.sleep(self._rng.uniform(0, 1.0))
             await self.cancel(job)
         while not job.final:
-            await anyio.sleep(ASK_EVERY * self._rng.uniform(0.5, 1.5))
-            await self.ask(job)
+            await anyio.sleep(QUERY_SECONDS * self._rng.uniform(0.5, 1.5))
+            await self.query(job)
 
     async def _submit(self, job: SubmittedJob) -> bool:
-        for _ in range(TRIES):
-            job.tries += 1
+        for _ in range(MAX_SUBMISSIONS):
+            job.submissions += 1
             call = await self._call("POST", job)
             if call.status == 200:
                 job.accepted = call.ended
@@ -206,24 +205,24 @@
         daemon = self._rng.choice(self._site.daemons)
         path = f"http://{daemon.callers}{job.queue.prefix}{job.id}"
         sent = http.read_clock()
-        status, body, has_time, broke = 0, None, False, ""
+        status, body, has_retry_after, error_name = 0, None, False, ""
         try:
             reply = await self._client.request(
                 method,
                 path,
                 headers={"Host": job.queue.host},
                 json=job.body if method == "POST" else None,
-                timeout=TIMEOUT,
+                timeout=TIMEOUT_SECONDS,
             )
-            status, has_time = reply.status_code, "retry-after" in reply.headers
+            status, has_retry_after = reply.status_code, "retry-after" in reply.headers
             body = reply.json() if reply.content else None
         except (httpx.ConnectError, httpx.ConnectTimeout):
             pass
         except httpx.TransportError as error:
-            broke = type(error).__name__
+            error_name = type(error).__name__
         call = Call(
             daemon.name, sent, http.read_clock(), method, job.id, status, body,
-            has_time, broke,
+            has_retry_after, error_name,
         )  # fmt: skip
         self.calls.append(call)
         return call
--- a/standins/soak/environment.py
+++ b/standins/soak/environment.py
@@ -1,4 +1,4 @@
-"""One site on loopback: stand-ins in this process, daemons as processes."""
+"""A site on loopback: stand-ins in this process, daemons as processes."""
 
 import contextlib
 import pathlib
@@ -21,22 +21,22 @@
 __all__ = ["POOLS", "QUEUES", "Daemon", "Queue", "Environment", "open_environment"]
 
 POOLS = {"alpha": 3, "beta": 3, vmfleet.STANDBY: 2}
-"""VMs a pool: enough that a lost VM leaves room, few enough to fill up."""
+"""VMs per pool: enough to run the jobs without one VM, few enough to be filled."""
 
 CALLERS_PORT = 8624
 READY_PORT = 8622
 
-GRACE = 6.0
-"""Seconds from SIGTERM to SIGKILL, as the settings say by default."""
+TERMINATION_GRACE_SECONDS = 6.0
+"""Time from SIGTERM to SIGKILL: the default of the settings."""
 
-RESTART = 0.5
-"""Seconds until an ended process is started again."""
+RESTART_DELAY_SECONDS = 0.5
+"""Time until a process that exited is restarted."""
 
-CLOSE = 0.2
-"""Seconds in which the servers see that their connections have ended."""
+CLOSE_SECONDS = 0.2
+"""Time in which the servers detect that their connections were closed."""
 
-REPLACE = 0.05
-"""Seconds between two looks at whether a process has ended."""
+POLL_SECONDS = 0.05
+"""Interval of checks whether a process has exited."""
 
 
 class Queue(NamedTuple):
@@ -56,12 +56,12 @@
 
 MAX_ATTEMPTS = 3
 
-PROGRAM = "wigeonhitch.site.main"
-WEAKENED = "standins.soak.without"
+MODULE = "wigeonhitch.site.main"
+WITHOUT_MODULE = "standins.soak.without"
 
 
 class Daemon:
-    """One daemon's process, started again whenever it ends."""
+    """Process of one daemon, which is restarted whenever it exits."""
 
     def __init__(
         self,
@@ -77,31 +77,31 @@
         self.settings = settings
         self.store, self.fleet = relays
         self.log = settings.with_suffix(".log")
-        self.running: subprocess.Popen[bytes] | None = None
-        self.kills_at = 0.0
+        self.popen: subprocess.Popen[bytes] | None = None
+        self.kill_at = 0.0
 
     @property
     def relays(self) -> tuple[relay.Relay, relay.Relay]:
-        """Links to the store and to the calls on VMs."""
+        """Links to the store and to the VM API."""
         return self.store, self.fleet
 
     def signal(self, number: int) -> None:
         """Send a signal, if the process runs."""
-        if self.running is not None and self.running.poll() is None:
-            self.running.send_signal(number)
+        if self.popen is not None and self.popen.poll() is None:
+            self.popen.send_signal(number)
 
     def terminate(self) -> None:
-        """Send SIGTERM; SIGKILL follows once the grace is over."""
-        self.kills_at = http.read_clock() + GRACE
+        """Send SIGTERM; SIGKILL follows after the grace period."""
+        self.kill_at = http.read_clock() + TERMINATION_GRACE_SECONDS
         self.signal(signal.SIGTERM)
 
-    async def keep(self, stack: contextlib.ExitStack) -> None:
-        """Start the process again and again until cancelled."""
+    async def supervise(self, stack: contextlib.ExitStack) -> None:
+        """Run the process and restart it whenever it exits, until cancelled."""
         environment = {node.NODE_FILE_VARIABLE: str(self.settings)}
         while True:
-            self.kills_at = 0.0
+            self.kill_at = 0.0
             output = stack.enter_context(self.log.open("ab"))
-            self.running = subprocess.Popen(
+            self.popen = subprocess.Popen(
                 [sys.executable, "-m", *self.program],
                 env=environment,
                 stdin=subprocess.DEVNULL,
@@ -109,22 +109,22 @@
                 stderr=subprocess.STDOUT,
                 start_new_session=True,
             )
-            stack.callback(_end, self.running)
-            while self.running.poll() is None:
-                await anyio.sleep(REPLACE)
-                if self.kills_at and http.read_clock() > self.kills_at:
+            stack.callback(_kill, self.popen)
+            while self.popen.poll() is None:
+                await anyio.sleep(POLL_SECONDS)
+                if self.kill_at and http.read_clock() > self.kill_at:
                     self.signal(signal.SIGKILL)
-            await anyio.sleep(RESTART)
+            await anyio.sleep(RESTART_DELAY_SECONDS)
 
 
 class Environment:
-    """Everything of one run.
+    """State of one run.
 
     Attributes
     ----------
     daemons : list of Daemon
     links : dict of str to relay.Relay
-        To the workers, by VM.
+        Links to the workers, by VM.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -134,31 +134,33 @@
         self.links: dict[str, relay.Relay] = {}
 
     def write_catalogue(self, version: int, extra: int = 0) -> None:
-        """Put a configuration in force; ``extra`` routes lead to the first pool.
+        """Write a configuration; ``extra`` additional routes lead to the first pool.
 
-        Each version has the queues exchange their pools.
+        Each version assigns the pools to the queues in another order.
         """
-        pools = [one.pool for one in QUEUES]
+        pools = [queue.pool for queue in QUEUES]
         first = (version - 1) % len(pools)
-        moved = zip(QUEUES, pools[first:] + pools[:first], strict=True)
-        routes = [_write_route(queue._replace(pool=pool)) for queue, pool in moved]
+        reassigned = zip(QUEUES, pools[first:] + pools[:first], strict=True)
+        routes = [_write_route(queue._replace(pool=pool)) for queue, pool in reassigned]
         for number in range(extra):
-            more = Queue(f"more-{number}", f"more{number}.example", "/", "alpha")
-            routes.append(_write_route(more))
-        services = [{"name": one, "standby": one == vmfleet.STANDBY} for one in POOLS]
+            extra_queue = Queue(f"more-{number}", f"more{number}.example", "/", "alpha")
+            routes.append(_write_route(extra_queue))
+        services = [
+            {"name": pool, "standby": pool == vmfleet.STANDBY} for pool in POOLS
+        ]
         fields = {"version": version, "routes": routes, "services": services}
         self.store.rows.put(
             entries.OPERATOR_TABLE, "", entries.CATALOGUE_KEY, orjson.dumps(fields)
         )
 
     def read_owner(self, pool: str) -> str:
-        """Return the daemon that a pool's owner row names, or nothing."""
+        """Return the daemon that a pool's owner row names, or an empty string."""
         value = self.store.rows.get(record.OWNER_TABLE, pool, record.OWNER_KEY)
         return record.read_owner(pool, value, 0).name if value else ""
 
-    def order_wave(self, number: int, vms: list[str], within: float) -> None:
-        """Ask for an upkeep of VMs, one at a time."""
-        fields = {"wave": number, "machines": vms, "duration_s": within, "ceiling": 1}
+    def order_wave(self, number: int, vms: list[str], duration: float) -> None:
+        """Request maintenance of VMs, one at a time."""
+        fields = {"wave": number, "machines": vms, "duration_s": duration, "ceiling": 1}
         self.store.rows.put(
             entries.OPERATOR_TABLE, "", entries.name_wave(number), orjson.dumps(fields)
         )
@@ -168,22 +170,26 @@
 async def open_environment(
     folder: pathlib.Path, count: int, rng: random.Random, without: str = ""
 ) -> Any:
-    """Run a site with ``count`` daemons; everything ends with the block.
+    """Run a site with ``count`` daemons; all of it stops at the end of the block.
 
-    ``without`` names a mechanism of `standins.soak.without` that they lack.
+    ``without`` names a mechanism of `standins.soak.without` to disable.
     """
     environment = Environment(rng)
     environment.write_catalogue(1)
     ports = process.Ports()
-    program = (WEAKENED, without) if without else (PROGRAM,)
+    program = (WITHOUT_MODULE, without) if without else (MODULE,)
     network = _choose_network()
     platform, calls = ports.allocate(2)
     workers = _add_vms(environment, ports)
-    one = application.Application(environment.store, environment.vm_fleet, workers)
+    asgi_application = application.Application(
+        environment.store, environment.vm_fleet, workers
+    )
     addresses = [f"127.0.0.1:{port}" for port in (platform, calls, *workers)]
     stopped = anyio.Event()
     async with anyio.create_task_group() as servers:
-        servers.start_soon(server.serve_addresses, one, addresses, None, stopped.wait)
+        servers.start_soon(
+            server.serve_addresses, asgi_application, addresses, None, stopped.wait
+        )
         try:
             with contextlib.ExitStack() as stack:
                 stack.callback(ports.close)
@@ -197,7 +203,7 @@
                     await _start(environment, addresses, group, stack)
                     yield environment
                     group.cancel_scope.cancel()
-            await anyio.sleep(CLOSE)
+            await anyio.sleep(CLOSE_SECONDS)
         finally:
             stopped.set()
 
@@ -216,26 +222,26 @@
         await server.wait_until_listening(address)
     group.start_soon(environment.vm_fleet.run)
     for daemon in environment.daemons:
-        group.start_soon(daemon.keep, stack)
+        group.start_soon(daemon.supervise, stack)
 
 
 def _choose_network() -> str:
-    """Return a part of loopback that no other run uses at the same time."""
+    """Return a random loopback network, so that concurrent runs don't collide."""
     any_rng = random.SystemRandom()
     return f"127.{any_rng.randrange(1, 250)}.{any_rng.randrange(250)}"
 
 
 def _add_vms(environment: Environment, ports: process.Ports) -> dict[int, vmfleet.Vm]:
-    found = {}
+    workers = {}
     for pool, count in POOLS.items():
         for number in range(count):
-            port, outside = ports.allocate(2)
+            port, relay_port = ports.allocate(2)
             name = f"{pool}-{number}"
-            link = relay.Relay("127.0.0.1", outside, "127.0.0.1", port)
+            link = relay.Relay("127.0.0.1", relay_port, "127.0.0.1", port)
             environment.links[name] = link
-            found[port] = vmfleet.Vm(name, pool, port, link.address)
-            environment.vm_fleet.add(found[port])
-    return found
+            workers[port] = vmfleet.Vm(name, pool, port, link.address)
+            environment.vm_fleet.add(workers[port])
+    return workers
 
 
 def _make_daemon(
@@ -251,7 +257,7 @@
         for target in targets
     ]
     name = f"daemon-{number}"
-    lines = {
+    fields = {
         "node_name": name,
         "zone": "dc",
         "ip": host,
@@ -261,7 +267,7 @@
         "cloud_api.address": links[1].address,
     }
     settings = folder / f"{name}.conf"
-    settings.write_text("".join(f"{key}={text}\n" for key, text in lines.items()))
+    settings.write_text("".join(f"{key}={text}\n" for key, text in fields.items()))
     return Daemon(name, host, settings, links, program)
 
 
@@ -277,8 +283,8 @@
     }
 
 
-def _end(running: subprocess.Popen[bytes]) -> None:
-    """End a process that this environment started."""
-    if running.poll() is None:
-        running.kill()
-    running.wait()
+def _kill(popen: subprocess.Popen[bytes]) -> None:
+    """Kill a process that this environment started, unless it has exited."""
+    if popen.poll() is None:
+        popen.kill()
+    popen.wait()
--- a/standins/soak/fault.py
+++ b/standins/soak/fault.py
@@ -1,4 +1,4 @@
-"""Faults of a run: a seeded plan, and carrying it out from outside."""
+"""Faults of a run: a seeded plan, and its injection from outside the daemons."""
 
 import random
 import signal
@@ -13,48 +13,48 @@
 __all__ = ["KINDS", "PLANNED", "Fault", "Injector", "Span", "plan"]
 
 PLANNED = frozenset({"stop", "reload", "configuration", "wave", "worker leaves"})
-"""Kinds that are planned work and no disturbance."""
+"""Kinds that are planned operations; no guarantee is suspended for them."""
 
-DAEMON = ("kill", "stop", "pause", "reload", "kill all")
-STORE_LINK = ("store cut", "store cut out", "store cut back", "store slow link",
+DAEMON_KINDS = ("kill", "stop", "pause", "reload", "kill all")
+STORE_LINK_KINDS = ("store cut", "store cut out", "store cut back", "store slow link",
               "store reset", "store silent")  # fmt: skip
-WORKER = ("worker cut", "worker cut back", "worker reset", "worker silent",
+WORKER_KINDS = ("worker cut", "worker cut back", "worker reset", "worker silent",
           "worker late", "worker crash", "worker leaves")  # fmt: skip
-STORE = ("down", "slow", "answers lost", "late writes", "history dropped")
-OPERATOR = ("configuration", "wave")
-KINDS = (*DAEMON, *STORE_LINK, *WORKER, *STORE, *OPERATOR)
+STORE_KINDS = ("down", "slow", "answers lost", "late writes", "history dropped")
+OPERATOR_KINDS = ("configuration", "wave")
+KINDS = (*DAEMON_KINDS, *STORE_LINK_KINDS, *WORKER_KINDS, *STORE_KINDS, *OPERATOR_KINDS)
 
-LINKS = {
+LINK_STATES = {
     "cut": relay.Link.CUT,
     "cut out": relay.Link.CUT_OUT,
     "cut back": relay.Link.CUT_BACK,
     "slow link": relay.Link.SLOW,
 }
 
-LENGTHS = (0.3, 5.0)
-"""Seconds that a fault lasts: shorter and longer than every lease."""
+DURATION_SECONDS = (0.3, 5.0)
+"""Range of a fault's duration: from shorter to longer than every lease."""
 
-GAPS = (0.2, 2.5)
-"""Seconds between two faults of a series."""
+GAP_SECONDS = (0.2, 2.5)
+"""Range of the time between two faults of a series."""
 
-SERIES_A_SECOND = 0.45
-"""Series of faults that begin in a second; they overlap."""
+SERIES_PER_SECOND = 0.45
+"""Series of faults that begin per second; they may overlap."""
 
-SLOW = 0.24
-"""Seconds that each call to a slow store takes longer, 60 times the usual 4 ms."""
+SLOW_STORE_SECONDS = 0.24
+"""Additional duration of each call to a slow store: 60 times the usual 4 ms."""
 
 
 class Fault(NamedTuple):
-    """One fault; ``pick`` in 0 to 1 chooses what it strikes."""
+    """One fault; ``pick`` in 0 to 1 selects its target."""
 
     at: float
     kind: str
     pick: float
-    for_s: float
+    duration: float
 
 
 class Span(NamedTuple):
-    """A fault that was brought about, and what it struck."""
+    """A fault that was injected, and its target."""
 
     begin: float
     end: float
@@ -64,23 +64,23 @@
 
 def plan(rng: random.Random, seconds: float) -> list[Fault]:
     """Return the faults of a run, in series that may overlap."""
-    found = []
-    for _ in range(max(1, round(seconds * SERIES_A_SECOND))):
+    faults = []
+    for _ in range(max(1, round(seconds * SERIES_PER_SECOND))):
         at = rng.uniform(0.5, seconds)
         kind = rng.choice(KINDS)
         for _ in range(rng.choice((1, 1, 2, 3))):
-            found.append(Fault(at, kind, rng.random(), rng.uniform(*LENGTHS)))
-            at += rng.uniform(*GAPS)
-    return sorted(one for one in found if one.at < seconds)
+            faults.append(Fault(at, kind, rng.random(), rng.uniform(*DURATION_SECONDS)))
+            at += rng.uniform(*GAP_SECONDS)
+    return sorted(fault for fault in faults if fault.at < seconds)
 
 
 class Injector:
-    """Brings faults about.
+    """Injects faults.
 
     Attributes
     ----------
     spans : list of Span
-        What was done, for the checks.
+        Injected faults, for the checks.
     """
 
     def __init__(self, site: environment.Environment, rng: random.Random) -> None:
@@ -91,108 +91,108 @@
         self._waves = 0
 
     async def run(self, faults: list[Fault]) -> None:
-        """Carry out a plan; return when all of it is over."""
+        """Inject the faults of a plan; return when all of them are over."""
         began = http.read_clock()
         async with anyio.create_task_group() as group:
             for fault in faults:
                 await anyio.sleep(max(0.0, began + fault.at - http.read_clock()))
-                group.start_soon(self._bring, fault)
+                group.start_soon(self._inject, fault)
 
-    async def _bring(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         begin = http.read_clock()
         kind = fault.kind
-        if kind in DAEMON:
-            target = await self._strike_daemon(fault)
-        elif kind in STORE:
-            target = await self._strike_store(fault)
-        elif kind in OPERATOR:
-            target = self._operate(kind)
+        if kind in DAEMON_KINDS:
+            target = await self._inject_daemon_fault(fault)
+        elif kind in STORE_KINDS:
+            target = await self._inject_store_fault(fault)
+        elif kind in OPERATOR_KINDS:
+            target = self._run_operation(kind)
         else:
-            target = await self._strike_link(fault)
+            target = await self._inject_link_fault(fault)
         self.spans.append(Span(begin, http.read_clock(), kind, target))
 
-    async def _strike_daemon(self, fault: Fault) -> str:
+    async def _inject_daemon_fault(self, fault: Fault) -> str:
         daemon = _pick(self._site.daemons, fault.pick)
         if fault.kind == "kill all":
-            for one in self._site.daemons:
-                one.signal(signal.SIGKILL)
+            for other in self._site.daemons:
+                other.signal(signal.SIGKILL)
         elif fault.kind == "kill":
             daemon.signal(signal.SIGKILL)
         elif fault.kind == "stop":
             daemon.terminate()
-            await anyio.sleep(environment.GRACE)
+            await anyio.sleep(environment.TERMINATION_GRACE_SECONDS)
         elif fault.kind == "reload":
             with daemon.settings.open("a") as settings:
                 settings.write(f"unknown.key={fault.pick}\n")
             daemon.signal(signal.SIGHUP)
         else:
             daemon.signal(signal.SIGSTOP)
-            await anyio.sleep(fault.for_s)
+            await anyio.sleep(fault.duration)
             daemon.signal(signal.SIGCONT)
         return daemon.name
 
-    async def _strike_store(self, fault: Fault) -> str:
+    async def _inject_store_fault(self, fault: Fault) -> str:
         store = self._site.store
         if fault.kind == "down":
             store.rows.is_down = True
-            await anyio.sleep(fault.for_s)
+            await anyio.sleep(fault.duration)
             store.rows.is_down = False
         elif fault.kind == "slow":
-            store.delay = SLOW
-            await anyio.sleep(fault.for_s)
+            store.delay = SLOW_STORE_SECONDS
+            await anyio.sleep(fault.duration)
             store.delay = 0.0
         elif fault.kind == "answers lost":
             store.rows.lost_answers += 1 + int(fault.pick * 8)
         elif fault.kind == "late writes":
             store.rows.deferred_commits += 1 + int(fault.pick * 8)
-            await anyio.sleep(1 + fault.for_s)
+            await anyio.sleep(1 + fault.duration)
             store.rows.deferred_commits = 0
             store.rows.apply_deferred()
         else:
             store.rows.expire_history()
         return "store"
 
-    def _operate(self, kind: str) -> str:
+    def _run_operation(self, kind: str) -> str:
         if kind == "configuration":
             self._version += self._rng.randint(1, 5)
             self._site.write_catalogue(self._version, self._rng.randrange(20))
             return str(self._version)
-        names = [one.name for one in self._site.vm_fleet.vms.values()]
+        names = [vm.name for vm in self._site.vm_fleet.vms.values()]
         self._waves += 1
-        chosen = sorted(self._rng.sample(names, 3))
-        self._site.order_wave(self._waves, chosen, 20.0)
-        return ",".join(chosen)
+        vms = sorted(self._rng.sample(names, 3))
+        self._site.order_wave(self._waves, vms, 20.0)
+        return ",".join(vms)
 
-    async def _strike_link(self, fault: Fault) -> str:
-        where, _, what = fault.kind.partition(" ")
-        if where == "store":
+    async def _inject_link_fault(self, fault: Fault) -> str:
+        place, _, effect = fault.kind.partition(" ")
+        if place == "store":
             daemon = _pick(self._site.daemons, fault.pick)
-            await _strike(daemon.store, what, fault.for_s)
+            await _inject_relay_fault(daemon.store, effect, fault.duration)
             return daemon.name
         vm = _pick(list(self._site.vm_fleet.vms.values()), fault.pick)
-        if what == "crash":
-            self._site.vm_fleet.crash(vm, fault.for_s)
-        elif what == "leaves":
+        if effect == "crash":
+            self._site.vm_fleet.crash(vm, fault.duration)
+        elif effect == "leaves":
             self._site.vm_fleet.drain(vm)
-        elif what == "late":
+        elif effect == "late":
             vm.is_late = True
-            await anyio.sleep(fault.for_s)
+            await anyio.sleep(fault.duration)
             vm.is_late = False
         else:
-            await _strike(self._site.links[vm.name], what, fault.for_s)
+            await _inject_relay_fault(self._site.links[vm.name], effect, fault.duration)
         return vm.name
 
 
-async def _strike(link: relay.Relay, what: str, for_s: float) -> None:
+async def _inject_relay_fault(link: relay.Relay, effect: str, duration: float) -> None:
     action: dict[str, Callable[[], None]] = {
         "reset": link.reset,
         "silent": link.silence,
     }
-    if what in action:
-        action[what]()
+    if effect in action:
+        action[effect]()
         return
-    link.switch(LINKS[what])
-    await anyio.sleep(for_s)
+    link.switch(LINK_STATES[effect])
+    await anyio.sleep(duration)
     link.switch(relay.Link.OPEN)
 
 
--- a/standins/soak/main.py
+++ b/standins/soak/main.py
@@ -15,25 +15,25 @@
 from standins.soak import audit, caller, environment, fault, leaderfault
 from wigeonhitch.platform import http
 
-__all__ = ["Result", "list_kept", "play", "run"]
+__all__ = ["Result", "list_recorded_seeds", "run", "run_seed"]
 
-KEPT = pathlib.Path(__file__).with_name("seeds.yaml")
+SEEDS_FILE = pathlib.Path(__file__).with_name("seeds.yaml")
 
-START_LIMIT = 20.0
-"""Seconds for a daemon to be ready, on a busy machine too."""
+START_TIMEOUT_SECONDS = 20.0
+"""Time in which a daemon becomes ready, also on a busy machine."""
 
-FINISH = 14.0
-"""Seconds after the last fault in which every accepted job is final."""
+SETTLE_SECONDS = 14.0
+"""Time after the last fault in which every accepted job becomes final."""
 
-CALLERS = 200
-"""Connections of the callers; each keeps its own until the process is gone."""
+MAX_CONNECTIONS = 200
+"""Connections of the callers; each is kept until the daemon's process exits."""
 
 
 class Result(NamedTuple):
-    """What one seed showed."""
+    """Results of one seed."""
 
     seed: int
-    faults: list[str]
+    violations: list[str]
     jobs: int
     calls: int
     refused: int
@@ -42,7 +42,7 @@
 
 
 def run() -> None:
-    """Run seeds one after the other; exit status 1 if a promise was broken."""
+    """Run seeds one after the other; exit with status 1 if a guarantee was violated."""
     process.exit_on_sigterm()
     sys.exit(defopt.run(soak))
 
@@ -59,7 +59,7 @@
     leaders: bool = False,
     folder: str = "",
 ) -> int:
-    """Play seeded runs of faults and check what callers and workers saw.
+    """Run seeded faults and check the records of callers and workers.
 
     Parameters
     ----------
@@ -68,52 +68,54 @@
     first : int
         Seed of the first run; the others follow it.
     seconds : float
-        Length of the faults of a run.
+        Duration of the fault injection of a run.
     daemons : int
-        Daemons as processes.
+        Number of daemon processes.
     rate : float
-        Jobs a second that callers submit.
+        Jobs that callers submit per second.
     kept : bool
-        Play the seeds that once failed, in place of fresh ones.
+        Run the seeds that once failed instead of fresh ones.
     without : str
-        Mechanism of `standins.soak.without` that the daemons lack.
+        Mechanism of `standins.soak.without` to disable.
     leaders : bool
-        Play the faults that strike leaders, in place of all others.
+        Run the faults that target leaders instead of all others.
     folder : str
-        Where the daemons' logs of failed runs are kept; a temporary one if empty.
+        Folder for the daemons' logs; a temporary one if empty.
     """
-    chosen = list_kept() if kept else range(first, first + seeds)
-    keep = folder or tempfile.mkdtemp(prefix="soak-")
-    broken = 0
-    for seed in chosen:
-        place = pathlib.Path(keep) / str(seed)
-        place.mkdir(parents=True, exist_ok=True)
-        result = anyio.run(play, seed, place, seconds, daemons, rate, without, leaders)
-        broken += bool(result.faults)
-        print(describe(result, place), flush=True)
-    print(f"{len(chosen)} seeds, {broken} with a broken promise")
-    return 1 if broken else 0
-
-
-def list_kept() -> list[int]:
+    selected = list_recorded_seeds() if kept else range(first, first + seeds)
+    root = folder or tempfile.mkdtemp(prefix="soak-")
+    failed_count = 0
+    for seed in selected:
+        log_folder = pathlib.Path(root) / str(seed)
+        log_folder.mkdir(parents=True, exist_ok=True)
+        result = anyio.run(
+            run_seed, seed, log_folder, seconds, daemons, rate, without, leaders
+        )
+        failed_count += bool(result.violations)
+        print(describe(result, log_folder), flush=True)
+    print(f"{len(selected)} seeds, {failed_count} with a broken promise")
+    return 1 if failed_count else 0
+
+
+def list_recorded_seeds() -> list[int]:
     """Return the seeds that once failed."""
-    return [one["seed"] for one in yaml.safe_load(KEPT.read_text()) or ()]
+    return [entry["seed"] for entry in yaml.safe_load(SEEDS_FILE.read_text()) or ()]
 
 
-def describe(result: Result, place: pathlib.Path) -> str:
-    """Return a line on a run, and a line for each broken promise."""
+def describe(result: Result, log_folder: pathlib.Path) -> str:
+    """Return a summary line of a run, and a line for each violation."""
     counts = f"{result.jobs} jobs, {result.calls} calls, {result.refused} refused, "
     counts += f"{result.starts} starts, {len(result.spans)} faults"
-    lines = [f"seed {result.seed}: {counts}: {'BROKEN' if result.faults else 'ok'}"]
-    lines.extend(f"  {line}" for line in result.faults)
-    if result.faults:
-        lines.append(f"  logs in {place}")
+    lines = [f"seed {result.seed}: {counts}: {'BROKEN' if result.violations else 'ok'}"]
+    lines.extend(f"  {line}" for line in result.violations)
+    if result.violations:
+        lines.append(f"  logs in {log_folder}")
         for span in sorted(result.spans):
             lines.append(f"  {span.begin:.2f}-{span.end:.2f} {span.kind} {span.target}")
     return "\n".join(lines)
 
 
-async def play(
+async def run_seed(
     seed: int,
     folder: pathlib.Path,
     seconds: float,
@@ -122,16 +124,16 @@
     without: str = "",
     leaders: bool = False,
 ) -> Result:
-    """Play one seed."""
+    """Run one seed and check it."""
     rng = random.Random(seed)
     plan = leaderfault.plan if leaders else fault.plan
     faults = plan(random.Random(seed), seconds)
-    limits = httpx.Limits(max_connections=CALLERS, keepalive_expiry=60.0)
+    limits = httpx.Limits(max_connections=MAX_CONNECTIONS, keepalive_expiry=60.0)
     async with (
         httpx.AsyncClient(limits=limits, trust_env=False) as client,
         environment.open_environment(folder, daemons, rng, without) as site,
     ):
-        await _await_ready(site)
+        await _wait_until_ready(site)
         callers = caller.Callers(site, rng, client)
         injector = leaderfault.Injector(site, rng)
         async with anyio.create_task_group() as group:
@@ -140,7 +142,7 @@
                 group.start_soon(callers.run_at_claims, seconds)
             await injector.run(faults)
         await _settle(callers)
-        seen = audit.Observations(
+        observed = audit.Observations(
             callers.jobs,
             callers.calls,
             injector.spans,
@@ -149,19 +151,19 @@
         )
         return Result(
             seed,
-            audit.check(seen),
-            len(seen.jobs),
-            len(seen.calls),
-            sum(1 for call in seen.calls if call.status in (429, 503)),
+            audit.check(observed),
+            len(observed.jobs),
+            len(observed.calls),
+            sum(1 for call in observed.calls if call.status in (429, 503)),
             sum(1 for event in site.vm_fleet.events if event.kind == "start"),
-            seen.spans,
+            observed.spans,
         )
 
 
-async def _await_ready(site: environment.Environment) -> None:
+async def _wait_until_ready(site: environment.Environment) -> None:
     """Wait until every daemon answers that it is ready."""
     async with httpx.AsyncClient(trust_env=False) as client:
-        with anyio.fail_after(START_LIMIT):
+        with anyio.fail_after(START_TIMEOUT_SECONDS):
             for daemon in site.daemons:
                 host = daemon.callers.partition(":")[0]
                 while not await _is_ready(client, host):
@@ -179,17 +181,20 @@
 
 
 async def _settle(callers: caller.Callers) -> None:
-    """Ask for all jobs until they are final, and the lasting ones are at work."""
-    began = http.read_clock()
-    while http.read_clock() < began + FINISH:
-        left = [
+    """Query all jobs until they are final, and give lasting ones time to run."""
+    started = http.read_clock()
+    while http.read_clock() < started + SETTLE_SECONDS:
+        unfinished = [
             job
             for job in callers.jobs
-            if job.accepted and not job.final and not job.lasts and not job.cancelled
+            if job.accepted
+            and not job.final
+            and not job.is_lasting
+            and not job.cancelled
         ]
-        for job in left:
-            await callers.ask(job)
-        if not left and http.read_clock() > began + FINISH / 2:
+        for job in unfinished:
+            await callers.query(job)
+        if not unfinished and http.read_clock() > started + SETTLE_SECONDS / 2:
             return
         await anyio.sleep(0.3)
 
--- a/standins/soak/relay.py
+++ b/standins/soak/relay.py
@@ -1,4 +1,4 @@
-"""Loopback relays: links that are delayed, reset, cut one way or silenced."""
+"""Loopback relays: links that are delayed, reset, cut or silenced."""
 
 import contextlib
 import enum
@@ -10,10 +10,10 @@
 
 __all__ = ["Link", "Relay"]
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
-RESET = struct.pack("ii", 1, 0)
-"""Linger time of 0 s: closing a socket sends a reset."""
+LINGER_RESET = struct.pack("ii", 1, 0)
+"""Linger option with a time of 0 s: closing a socket sends a reset."""
 
 
 class Link(enum.Enum):
@@ -21,7 +21,7 @@
 
     OPEN = "open"
     SLOW = "slow"
-    """Bytes arrive `DELAY` later."""
+    """Bytes are delayed by `DELAY_SECONDS`."""
     CUT_OUT = "cut out"
     """Nothing passes from the client to the server."""
     CUT_BACK = "cut back"
@@ -32,25 +32,25 @@
     """New connections wait; open ones work."""
 
 
-DELAY = 0.12
-"""Seconds by which a slow link delays each way; 60 times loopback's usual."""
+DELAY_SECONDS = 0.12
+"""Delay of a slow link in each direction: 60 times that of loopback."""
 
 
 class Relay:
-    """Passes the connections to one address on.
+    """Forwards the connections to one address.
 
     Attributes
     ----------
     state : Link
-        Holds for all connections, old and new.
-    late : dict of bytes to float
-        Seconds by which an answer is late, by a part of what was asked.
+        Applies to existing and new connections.
+    answer_delays : dict of bytes to float
+        Seconds by which an answer is delayed, by a substring of its request.
     """
 
     def __init__(self, host: str, port: int, target_host: str, target: int) -> None:
         self.address = f"{host}:{port}"
         self.state = Link.OPEN
-        self.late: dict[bytes, float] = {}
+        self.answer_delays: dict[bytes, float] = {}
         self._host = host
         self._port = port
         self._target = (target_host, target)
@@ -58,7 +58,7 @@
         self._scopes: dict[int, anyio.CancelScope] = {}
         self._clients: dict[int, anyio.abc.SocketStream] = {}
         self._silenced: set[int] = set()
-        self._asked: dict[int, bytes] = {}
+        self._requests: dict[int, bytes] = {}
         self._count = 0
 
     def switch(self, state: Link) -> None:
@@ -68,14 +68,14 @@
         self._changed = anyio.Event()
 
     def reset(self) -> None:
-        """Break all open connections."""
+        """Reset all open connections."""
         for number, client in self._clients.items():
             raw = client.extra(anyio.abc.SocketAttribute.raw_socket)
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self._scopes[number].cancel()
 
     def silence(self) -> None:
-        """Let open connections pass nothing any more; new ones work."""
+        """Stop forwarding on all open connections; new ones work."""
         self._silenced.update(self._scopes)
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
@@ -100,30 +100,34 @@
                     await self._changed.wait()
                 server = await anyio.connect_tcp(*self._target)
                 async with anyio.create_task_group() as group:
-                    group.start_soon(self._pass, number, client, server, Link.CUT_OUT)
-                    group.start_soon(self._pass, number, server, client, Link.CUT_BACK)
+                    group.start_soon(
+                        self._forward, number, client, server, Link.CUT_OUT
+                    )
+                    group.start_soon(
+                        self._forward, number, server, client, Link.CUT_BACK
+                    )
         finally:
             del self._scopes[number], self._clients[number]
             self._silenced.discard(number)
-            self._asked.pop(number, None)
+            self._requests.pop(number, None)
             with anyio.CancelScope(shield=True):
-                for one in (client, server):
-                    if one is not None:
-                        await anyio.aclose_forcefully(one)
+                for stream in (client, server):
+                    if stream is not None:
+                        await anyio.aclose_forcefully(stream)
 
-    async def _pass(
+    async def _forward(
         self,
         number: int,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
         cut: Link,
     ) -> None:
-        """Pass bytes one way; the end of either way ends the connection."""
+        """Forward bytes in one direction; an end of either direction ends both."""
         while True:
             try:
-                data = await source.receive(CHUNK)
+                data = await source.receive(CHUNK_BYTES)
                 if cut is Link.CUT_OUT:
-                    self._asked[number] = self._asked.get(number, b"") + data
+                    self._requests[number] = self._requests.get(number, b"") + data
                 else:
                     await anyio.sleep(self._take_delay(number))
                 await self._wait_until_open(number, cut)
@@ -133,9 +137,11 @@
                 return
 
     def _take_delay(self, number: int) -> float:
-        asked = self._asked.pop(number, b"")
-        found = [late for what, late in self.late.items() if what in asked]
-        return max(found, default=0.0)
+        request = self._requests.pop(number, b"")
+        delays = [
+            delay for part, delay in self.answer_delays.items() if part in request
+        ]
+        return max(delays, default=0.0)
 
     async def _wait_until_open(self, number: int, cut: Link) -> None:
         if number in self._silenced:
@@ -143,4 +149,4 @@
         while self.state in (cut, Link.CUT):
             await self._changed.wait()
         if self.state is Link.SLOW:
-            await anyio.sleep(DELAY)
+            await anyio.sleep(DELAY_SECONDS)
--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -1,7 +1,8 @@
-"""A site's daemon with one mechanism off: ``python -m standins.soak.without NAME``.
+"""Daemon of a site with one mechanism disabled.
 
-A soak that can't fail proves nothing. Each entry of `MECHANISMS` takes one
-mechanism out of the daemon; some seed of the soak must then break a promise.
+``python -m standins.soak.without NAME`` shows that the soak can fail: each entry of
+`MECHANISMS` disables one mechanism of the daemon, and some seed of the soak must
+then find a violation.
 """
 
 import sys
@@ -18,24 +19,24 @@
 
 
 def note_uncommitted_ends() -> None:
-    """Tell workers that an end is noted before it is durable."""
+    """Acknowledge ends to workers before they are committed."""
     vm.Vm.committed_end = property(
         lambda self: self.processed_end, lambda self, number: None
     )
 
 
 def skip_lapses() -> None:
-    """Start the tasks of silent workers again without waiting."""
+    """Restart the tasks of silent workers before their lease has expired."""
     vm.Vm.is_lapsed = lambda self, now, grace: True
 
 
 def skip_takeover_wait() -> None:
-    """Lead at once, without waiting for the workers of an earlier leader."""
-    core.Pool.on_roster = lambda self, *given: None
+    """Lead immediately, without waiting for the workers of an earlier leader."""
+    core.Pool.on_roster = lambda self, *arguments: None
 
 
 def ignore_leaving() -> None:
-    """Use workers that say that they leave like any other."""
+    """Use workers that have announced to leave like any other."""
     original = entries.read_worker
 
     def read_worker(key: str, value: bytes) -> Any:
@@ -48,11 +49,11 @@
 
 
 def refuse_lost_submissions() -> None:
-    """Say of a job whose write had no answer that it never runs."""
+    """Answer "not run" for a job whose write had an unknown outcome."""
     original = acceptance.Acceptance.accept
 
-    async def accept(self: Any, *given: Any) -> message.Answer:
-        answer = await original(self, *given)
+    async def accept(self: Any, *arguments: Any) -> message.Answer:
+        answer = await original(self, *arguments)
         if answer.verdict is message.Verdict.UNKNOWN:
             return answer._replace(verdict=message.Verdict.NOT_RUN, retry_after=1)
         return answer
@@ -61,18 +62,18 @@
 
 
 def stand_still_at_gone_rows() -> None:
-    """Expect rows that a lost answer hid the removal of, for ever."""
+    """Keep expecting rows whose removal was hidden by a lost answer."""
     ledger.Ledger._drop_removed_rows = lambda self, dropped: None
     ledger.rows.list_gone = lambda conditions, found: ()
 
 
 def keep_what_was_led() -> None:
-    """After a lapse of the lease go on leading what was led."""
+    """Continue to lead pools after the lease has lapsed."""
     leadership.Leadership.on_lapsed = lambda self, version: None
 
 
 def claim_by_owner_alone() -> None:
-    """Claim a pool also beside a lease that was renewed meanwhile."""
+    """Claim a pool even if its owner's lease was renewed meanwhile."""
 
     def build_claim_conditions(self: Any, pool: str) -> tuple[Any, ...]:
         owner = self.owners.get(pool)
@@ -82,23 +83,23 @@
 
 
 def order_after_the_end() -> None:
-    """Let a leadership that is over give orders while the daemon's lease lasts."""
+    """Allow orders of an ended leadership while the daemon's lease is valid."""
     term.Term.end = lambda self: None
 
 
 def accept_without_condition() -> None:
-    """Accept a job whether or not a pool holds it."""
+    """Accept a job regardless of whether a pool holds it."""
     original = acceptance._build_transaction
 
-    def plan_rows(*given: Any) -> Any:
-        return original(*given)._replace(conditions=())
+    def build_transaction(*arguments: Any) -> Any:
+        return original(*arguments)._replace(conditions=())
 
-    acceptance._build_transaction = plan_rows
+    acceptance._build_transaction = build_transaction
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
-    one.__name__: one
-    for one in (
+    mechanism.__name__: mechanism
+    for mechanism in (
         note_uncommitted_ends,
         skip_lapses,
         skip_takeover_wait,
@@ -114,7 +115,7 @@
 
 
 def run() -> None:
-    """Take the named mechanism out and run the daemon."""
+    """Disable the named mechanism and run the daemon."""
     MECHANISMS[sys.argv[1]]()
     main.run()
 
--- a/standins/storelink.py
+++ b/standins/storelink.py
@@ -1,4 +1,4 @@
-"""One daemon's link to a row store in process: cut, or slow for single tables."""
+"""Link of one daemon to an in-process row store, with faults."""
 
 from collections.abc import Awaitable
 from typing import Any
@@ -16,14 +16,14 @@
     Parameters
     ----------
     store : rows.RowStore
-        What the link leads to.
+        Store that calls are forwarded to.
 
     Attributes
     ----------
     is_cut : bool
-        Calls fail, nothing is done.
+        Calls fail without effect.
     slow : dict of str to float
-        Seconds that what is read of a table is on its way.
+        Seconds by which the answers of reads are delayed, by table.
     """
 
     def __init__(self, store: rows.RowStore) -> None:
@@ -32,7 +32,7 @@
         self._store = store
 
     async def commit(self, change: rows.Transaction, *, timeout: float) -> rows.Change:
-        """Make one attempt."""
+        """Make one attempt to commit a transaction."""
         if self.is_cut:
             return await self._fail(rows.Change)
         return await self._store.commit(change, timeout=timeout)
@@ -44,7 +44,7 @@
         if self.is_cut:
             return await self._fail(rows.Range)
         read = self._store.read(table, part, timeout=timeout, **bounds)
-        return await self._carry(table, read)
+        return await self._deliver(table, read)
 
     async def follow(
         self, table: str, after: int, *, wait: float, timeout: float
@@ -52,8 +52,8 @@
         """Wait for changes of a table."""
         if self.is_cut:
             return await self._fail(rows.Feed)
-        news = self._store.follow(table, after, wait=wait, timeout=timeout)
-        return await self._carry(table, news)
+        feed = self._store.follow(table, after, wait=wait, timeout=timeout)
+        return await self._deliver(table, feed)
 
     async def list_parts(self, table: str, *, timeout: float) -> rows.Parts:
         """Return the parts of a table."""
@@ -62,7 +62,7 @@
             return rows.Parts(None, "down")
         return await self._store.list_parts(table, timeout=timeout)
 
-    async def _carry(self, name: str, call: Awaitable[Any]) -> Any:
+    async def _deliver(self, name: str, call: Awaitable[Any]) -> Any:
         sent = http.read_clock()
         answer = await call
         await anyio.sleep(self.read_delays.get(name, 0.0))
--- a/standins/taskhistory.py
+++ b/standins/taskhistory.py
@@ -1,4 +1,4 @@
-"""What workers saw of tasks, and the promises that it is checked for."""
+"""Checks of the task events on all workers against the guarantees of a pool."""
 
 from collections.abc import Callable
 
@@ -13,39 +13,41 @@
     get_size: Callable[[model.Task], int],
     capacity: int,
 ) -> list[str]:
-    """Return what went wrong in a history, a line each.
+    """Return the violations in a history, one line each.
 
     Parameters
     ----------
     events : list of siteworker.Event
-        What happened on all workers, in order.
+        Events of all workers, in order.
     get_size : callable
-        Thousandths of a core that a task takes.
+        Returns the millicores that a task takes.
     capacity : int
-        Thousandths of a core that each worker has.
+        Millicores of each worker.
     """
-    faults: list[str] = []
-    live: dict[model.Task, tuple[str, int]] = {}
-    noted: set[model.Task] = set()
-    numbers: dict[model.Task, int] = {}
+    violations: list[str] = []
+    running: dict[model.Task, tuple[str, int]] = {}
+    acknowledged: set[model.Task] = set()
+    last_runs: dict[model.Task, int] = {}
     used: dict[str, int] = {}
     for event in events:
         if event.kind == "start":
-            if event.task in live:
-                faults.append(f"two runs at once: {event} beside {live[event.task]}")
-            if event.task in noted:
-                faults.append(f"started after a noted end: {event}")
-            if event.run <= numbers.get(event.task, 0):
-                faults.append(f"number doesn't rise: {event}")
-            numbers[event.task] = event.run
-            live[event.task] = (event.worker, event.run)
+            if event.task in running:
+                violations.append(
+                    f"two runs at once: {event} beside {running[event.task]}"
+                )
+            if event.task in acknowledged:
+                violations.append(f"started after a noted end: {event}")
+            if event.run <= last_runs.get(event.task, 0):
+                violations.append(f"run number doesn't increase: {event}")
+            last_runs[event.task] = event.run
+            running[event.task] = (event.worker, event.run)
             used[event.worker] = used.get(event.worker, 0) + get_size(event.task)
             if used[event.worker] > capacity:
-                faults.append(f"beyond the room: {event}")
+                violations.append(f"capacity of the worker exceeded: {event}")
         elif event.kind == "end":
             used[event.worker] -= get_size(event.task)
-            if live.get(event.task) == (event.worker, event.run):
-                del live[event.task]
+            if running.get(event.task) == (event.worker, event.run):
+                del running[event.task]
         elif event.kind == "noted" and event.outcome == "done":
-            noted.add(event.task)
-    return faults
+            acknowledged.add(event.task)
+    return violations
--- a/standins/tests/test_audit.py
+++ b/standins/tests/test_audit.py
@@ -13,8 +13,8 @@
     return check.check_text(EXAMPLE.read_text(encoding="utf-8")).intended
 
 
-def make_outcome(name="1", verdict="ran", keyed=True, status=200, whole=True):
-    return caller.Outcome(name, "s", keyed, status, verdict, "", whole, 0.1)
+def make_outcome(name="1", verdict="ran", keyed=True, status=200, is_complete=True):
+    return caller.Outcome(name, "s", keyed, status, verdict, "", is_complete, 0.1)
 
 
 def make_run(name="1", outcome="done"):
@@ -29,11 +29,11 @@
     return {"revision": revision, "time": float(revision), "writes": writes}
 
 
-def test_clean_run_is_clean(intended):
+def test_run_without_violation_is_clean(intended):
     history = [make_commit(1, *["up"] * 6), make_commit(2, "draining", *["up"] * 5)]
-    found = audit.audit([make_outcome()], [make_run()], history, intended)
-    assert found.is_clean
-    assert found.answered == 1
+    findings = audit.audit([make_outcome()], [make_run()], history, intended)
+    assert findings.is_clean
+    assert findings.answered == 1
 
 
 @pytest.mark.parametrize(
@@ -45,22 +45,22 @@
             [make_outcome(verdict="not run", status=503)],
             [make_run()],
         ),
-        ("not_whole", [make_outcome(whole=False)], [make_run()]),
-        ("cut_off", [make_outcome()], [make_run(outcome="cut off")]),
+        ("incomplete", [make_outcome(is_complete=False)], [make_run()]),
+        ("interrupted", [make_outcome()], [make_run(outcome="cut off")]),
     ],
 )
-def test_broken_run_is_found(field, outcomes, runs, intended):
-    found = audit.audit(outcomes, runs, [], intended)
-    assert getattr(found, field) == 1
-    assert not found.is_clean
+def test_violation_is_found(field, outcomes, runs, intended):
+    findings = audit.audit(outcomes, runs, [], intended)
+    assert getattr(findings, field) == 1
+    assert not findings.is_clean
 
 
-def test_stop_that_breaks_a_budget_is_found(intended):
+def test_stop_below_budget_is_found(intended):
     history = [
         make_commit(1, *["up"] * 6),
         make_commit(2, "draining", "draining", *["up"] * 4),
     ]
-    assert len(audit.find_broken_budgets(history, intended)) == 1
+    assert len(audit.find_budget_violations(history, intended)) == 1
 
 
 def test_rollout_and_moves_are_read_from_the_history():
--- a/standins/tests/test_demochecks.py
+++ b/standins/tests/test_demochecks.py
@@ -1,4 +1,4 @@
-"""Each checker of a run finds the breach that it is for, and no other."""
+"""Each check finds the violation that it is meant for, and no other."""
 
 import pytest
 
@@ -9,8 +9,8 @@
     request, _, attempt = name.rpartition("/")
     sent = traffic.Attempt(request, int(attempt), "d1", "POST", "s")
     answer = {"echo": sent.body, "caller": name}
-    seen = {"status": 200, "verdict": "ran", "reason": "answered", "answer": answer}
-    return traffic.Outcome(sent, traffic.ANSWERED, 0.0, 0.1, **{**seen, **fields})
+    defaults = {"status": 200, "verdict": "ran", "reason": "answered", "answer": answer}
+    return traffic.Outcome(sent, traffic.ANSWERED, 0.0, 0.1, **{**defaults, **fields})
 
 
 def make_run(key="r/0", worker="w1", started=1.0, outcome="done"):
@@ -21,7 +21,7 @@
 KEPT = "kept answer of an earlier request"
 
 
-def test_a_run_without_breach_passes():
+def test_run_without_violation_passes():
     outcomes = [
         make_outcome(),
         make_outcome("r/1", reason=KEPT, answer=make_outcome().answer),
@@ -44,45 +44,49 @@
         {"echo": "body of", "caller": "r/0"},
     ],
 )
-def test_another_callers_answer_and_half_an_answer_are_found(answer):
+def test_foreign_or_truncated_answer_is_found(answer):
     assert checks.find_wrong_answers([make_outcome(answer=answer)])
     assert checks.find_wrong_answers([make_outcome(answer=answer, reason=KEPT)])
 
 
-def test_a_broken_connection_and_a_missing_verdict_are_found():
+def test_broken_connection_and_missing_verdict_are_found():
     broken = make_outcome()._replace(ended=traffic.BROKEN, verdict="")
     assert checks.find_missing_verdicts([broken])
     assert checks.find_missing_verdicts([broken], {"d1"}) == []
     assert checks.find_missing_verdicts([make_outcome(verdict="")])
 
 
-def test_a_refused_attempt_that_ran_is_found():
+def test_refused_attempt_that_ran_is_found():
     outcomes = [make_outcome(**REFUSED)]
     assert checks.find_false_refusals(outcomes, [make_run()])
     assert checks.find_false_refusals(outcomes, [make_run("r/1")]) == []
 
 
-def test_a_second_run_of_another_attempt_is_found():
+def test_duplicate_run_of_another_attempt_is_found():
     outcomes = [make_outcome(), make_outcome("r/1")]
     assert checks.find_duplicate_runs(outcomes, [make_run(), make_run("r/1", "w2")])
 
 
-def test_work_after_a_drain_and_a_cut_request_are_found():
-    def entry(state, time):
+def test_late_start_and_interrupted_request_are_found():
+    def make_commit(state, time):
         return {"time": time, "writes": [["vm/w1", {"state": state}]]}
 
     drains = checks.find_drains(
-        [entry("up", 1.0), entry("draining", 5.0), entry("rebooting", 30.0)]
+        [
+            make_commit("up", 1.0),
+            make_commit("draining", 5.0),
+            make_commit("rebooting", 30.0),
+        ]
     )
     assert drains == [checks.Drain("w1", 5.0, 30.0)]
-    runs = [make_run(started=at) for at in (4.0, 6.0, 20.0, 40.0)]
-    latest, late = checks.find_late_starts(drains, runs, limit=5.0)
+    runs = [make_run(started=started) for started in (4.0, 6.0, 20.0, 40.0)]
+    latest, late = checks.find_late_starts(drains, runs, max_delay=5.0)
     assert latest == 15.0
     assert len(late) == 1
     assert checks.find_interrupted_requests([make_run(outcome="cut off")])
 
 
-def test_a_ready_daemon_that_goes_back_is_found():
+def test_version_regression_of_ready_daemon_is_found():
     samples = [
         checks.Sample(time, "d1", is_ready, version)
         for time, is_ready, version in ((1.0, True, 3), (2.0, False, 0), (3.0, True, 2))
--- a/standins/tests/test_demoprocess.py
+++ b/standins/tests/test_demoprocess.py
@@ -1,4 +1,4 @@
-"""The processes of a run on loopback: their ports, and the end of them all."""
+"""Processes of a run on loopback: allocation of ports, and termination."""
 
 import contextlib
 import pathlib
@@ -13,11 +13,11 @@
 from standins.demo import process
 
 ROOT = pathlib.Path(__file__).parents[2]
-FIRST = 20_000
-LIMIT = 30.0  # seconds
+FIRST_PORT = 20_000
+TIMEOUT_SECONDS = 30.0
 
-# The tests of a run that is ended in the first of them.
-ENDED = """
+# Tests of a nested run that is terminated during the first of them.
+NESTED_TESTS = """
 import contextlib, pathlib, time
 import pytest
 from standins.demo import process
@@ -42,8 +42,8 @@
 
 @pytest.fixture
 def open_ports(monkeypatch):
-    """Open ports that all begin at one number, as those of any runs may."""
-    monkeypatch.setattr(process.random.SystemRandom, "randrange", lambda *_: FIRST)
+    """Create allocators that start at the same port, as concurrent runs may."""
+    monkeypatch.setattr(process.random.SystemRandom, "randrange", lambda *_: FIRST_PORT)
     with contextlib.ExitStack() as stack:
         yield lambda: stack.enter_context(contextlib.closing(process.Ports()))
 
@@ -56,11 +56,11 @@
     return listener
 
 
-def test_ports_of_two_runs_differ_before_anything_listens(open_ports):
+def test_ports_of_two_runs_differ_before_any_process_listens(open_ports):
     assert set(open_ports().allocate(5)).isdisjoint(open_ports().allocate(5))
 
 
-def test_a_port_is_not_given_to_another_run_while_its_process_is_down(open_ports):
+def test_port_stays_reserved_while_its_process_is_down(open_ports):
     (port,) = open_ports().allocate()
     for _ in range(2):
         with listen(port), socket.create_connection(("127.0.0.1", port)):
@@ -68,7 +68,7 @@
         assert port not in open_ports().allocate(5)
 
 
-def test_connections_to_a_port_are_refused_until_its_process_listens(open_ports):
+def test_connections_are_refused_until_process_listens(open_ports):
     (port,) = open_ports().allocate()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(("127.0.0.1", port))
@@ -76,25 +76,25 @@
 
 def test_ports_are_free_once_closed(open_ports):
     first = open_ports()
-    taken = first.allocate(5)
+    allocated = first.allocate(5)
     first.close()
-    assert open_ports().allocate(5) == taken
+    assert open_ports().allocate(5) == allocated
 
 
 @pytest.mark.processes
-def test_sigterm_ends_a_run_of_tests_and_fails_none_of_them(tmp_path):
-    written = tmp_path / "test_ended.py"
-    written.write_text(ENDED)
-    command = [sys.executable, "-m", "pytest", "-p", "conftest", str(written)]
+def test_sigterm_ends_test_run_without_failing_tests(tmp_path):
+    test_file = tmp_path / "test_ended.py"
+    test_file.write_text(NESTED_TESTS)
+    command = [sys.executable, "-m", "pytest", "-p", "conftest", str(test_file)]
     with subprocess.Popen(
         command, cwd=ROOT, stdout=subprocess.PIPE, text=True
     ) as running:
-        deadline = time.monotonic() + LIMIT
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while not tmp_path.joinpath("begun").exists():
             assert time.monotonic() < deadline
             time.sleep(0.05)
         running.send_signal(signal.SIGTERM)
-        output, _ = running.communicate(timeout=LIMIT)
+        output, _ = running.communicate(timeout=TIMEOUT_SECONDS)
     assert running.returncode == pytest.ExitCode.INTERRUPTED, output
     assert "failed" not in output
     assert tmp_path.joinpath("stopped").exists()
