--- a/standins/tests/test_demotraffic.py
+++ b/standins/tests/test_demotraffic.py
@@ -1,24 +1,24 @@
-"""What the demo's callers make of daemons that come and go."""
+"""Callers of the demo while daemons are added and removed."""
 
 from standins.demo import traffic
 
 
-def test_a_daemon_that_is_taken_out_after_its_choice_is_a_connection_refused():
-    """What was seen: a whole run of failures ended with a KeyError of its callers.
+def test_daemon_removed_after_its_choice_counts_as_unconnected():
+    """Guards against a KeyError in a caller that ended the whole run.
 
-    How: a killed daemon was taken out of the list while a caller that had chosen it
-    hadn't looked its port up. Cause: the list was looked at twice. Proof: here each
-    second look finds it empty.
+    A caller reads the list of daemons twice, to choose one and to look up its port;
+    a daemon that is killed in between is missing in the second list. Here every
+    second list is empty.
     """
-    looks = []
+    lookups = []
 
     def find_ports():
-        looks.append(1)
-        return {"entry-0-a": 1} if len(looks) % 2 else {}
+        lookups.append(1)
+        return {"entry-0-a": 1} if len(lookups) % 2 else {}
 
-    with traffic.open_traffic(find_ports, 7) as calls:
-        calls.start(1, traffic.Mix(("s",), keyed_share=0.0, max_pause=0.01))
-        calls.wait_for(3, lambda one: one.ended == traffic.UNCONNECTED)
-        outcomes = calls.stop()
+    with traffic.open_traffic(find_ports, 7) as callers:
+        callers.start(1, traffic.Mix(("s",), keyed_share=0.0, max_pause=0.01))
+        callers.wait_for(3, lambda outcome: outcome.ended == traffic.UNCONNECTED)
+        outcomes = callers.stop()
 
-    assert {one.ended for one in outcomes} == {traffic.UNCONNECTED}
+    assert {outcome.ended for outcome in outcomes} == {traffic.UNCONNECTED}
--- a/standins/tests/test_platformengine.py
+++ b/standins/tests/test_platformengine.py
@@ -39,7 +39,7 @@
     return fake.run(platform.machines.reboot("w1", boot, purpose="test"))
 
 
-def test_the_list_lags_behind_a_reboot_and_a_repeat_does_nothing(platform):
+def test_list_lags_behind_reboot_and_repeated_reboot_has_no_effect(platform):
     platform.advance(20)
     assert reboot(platform, 0) is DONE
     assert list_boots(platform) == {"w1": 0, "w2": 0}
@@ -52,7 +52,7 @@
     assert list_boots(platform) == {"w1": 1, "w2": 0}
 
 
-def test_a_vm_may_leave_and_never_come_back(platform):
+def test_vm_may_leave_or_never_return(platform):
     platform.change_fleet(leaving="w2", never_back=["w1"])
     reboot(platform, 0)
     platform.advance(1000)
@@ -60,7 +60,7 @@
     assert (machine.vm, machine.state) == ("w2", machines.MachineState.LEAVING)
 
 
-def test_a_task_runs_once_and_reports_late(platform):
+def test_task_runs_once_and_reports_with_lag(platform):
     assert start(platform, duration=10.0, cores=2.0) is DONE
     assert start(platform, duration=10.0, cores=2.0) is DONE
     platform.advance(1)
@@ -85,7 +85,7 @@
         ({"duration": 40.0, "cores": 8.0}, "lease lapsed", 60.0),
     ],
 )
-def test_a_task_ends_for_its_reason(platform, work, reason, seconds):
+def test_task_ends_for_its_reason(platform, work, reason, seconds):
     platform.change_fleet(failing=["w2"])
     start(platform, **work)
     platform.advance(200)
@@ -94,7 +94,7 @@
     assert run["ended"] - run["started"] == pytest.approx(seconds)
 
 
-def test_a_lower_fence_is_refused(platform):
+def test_lower_fence_is_refused(platform):
     start(platform, fence=5, duration=100.0)
     assert start(platform, fence=4) is NOT_DONE
     assert control(platform, "stop", 4) is NOT_DONE
@@ -119,7 +119,7 @@
     assert run["ended"] - run["started"] == pytest.approx(4 + 4 + 20 + 5)
 
 
-def test_a_reboot_ends_the_tasks_of_its_vm(platform):
+def test_reboot_ends_tasks_of_its_vm(platform):
     start(platform, duration=100.0)
     reboot(platform, 0)
     assert platform.engine.tasks.log()[0]["reason"] == "vm lost"
--- a/standins/tests/test_platformprocess.py
+++ b/standins/tests/test_platformprocess.py
@@ -39,7 +39,7 @@
 
 @pytest.mark.anyio
 @pytest.mark.processes
-async def test_the_client_resolves_what_the_process_does_to_it(address):
+async def test_client_resolves_outcomes_under_faults(address):
     async with contextlib.AsyncExitStack() as stack:
         platform = await client.open_client(
             stack, address, rng=random.Random(1), daemon="d1"
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,8 +1,8 @@
 """Worker stand-in as a process: ``python -m standins.worker``.
 
-One process serves many workers, each on a port of its own. A worker has eight
-slots; it runs requests that ask for some seconds of work, and keeps a log of
-what truly ran, which is the ground truth of every proof. SIGTERM ends it.
+One process serves many workers, each on its own port. A worker has eight slots;
+it runs requests that take a given number of seconds, and logs all executions,
+which is the ground truth of all checks. SIGTERM stops it.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 
 __all__ = ["Application", "Switches", "Worker", "run"]
 
-SLOTS = 8  # requests that a worker runs at once
+DEFAULT_SLOTS = 8  # requests that a worker runs concurrently
 NOT_RUN = (b"wigeonhitch-verdict", b"not run")
 
 
@@ -27,18 +27,18 @@
     Parameters
     ----------
     slow : float
-        Factor on the seconds of work.
+        Factor on the duration of the work.
     frozen : bool
-        Requests start and go on only once this is switched off, as in a process
+        Requests start and continue only once this is switched off, as in a process
         that is stopped and continued.
     fail : bool
-        Requests run and answer 500.
+        Requests run and are answered with 500.
     late : float
-        Seconds between the end of the work and the answer.
+        Delay between the end of the work and the answer, in seconds.
     partial : bool
-        The connection breaks in the middle of the answer.
+        The connection is aborted in the middle of the answer.
     queue : bool
-        Requests beyond the slots wait inside the worker, in place of a refusal.
+        Requests beyond the slots are queued in the worker instead of refused.
     """
 
     slow: float = 1.0
@@ -50,7 +50,7 @@
 
 
 class Run(NamedTuple):
-    """One execution in the log: ``ended`` is 0 while it runs."""
+    """One execution in the log; ``ended`` is 0 while it runs."""
 
     run: int
     key: str
@@ -64,10 +64,10 @@
 class Worker:
     """State of one worker."""
 
-    def __init__(self, name: str, slots: int = SLOTS) -> None:
+    def __init__(self, name: str, slots: int = DEFAULT_SLOTS) -> None:
         self.name = name
         self.switches = Switches()
-        self.thawed = anyio.Event()
+        self.unfrozen = anyio.Event()
         self.slots = anyio.CapacityLimiter(slots)
         self.log: list[Run] = []
         self.scopes: dict[int, anyio.CancelScope] = {}
@@ -76,15 +76,15 @@
         self.connections: dict[Any, float] = {}
 
     def switch(self, switches: Switches) -> None:
-        """Set the faults; what was frozen goes on when it no longer is."""
+        """Set the faults; frozen requests continue once ``frozen`` is switched off."""
         self.switches = switches
         if not switches.frozen:
-            self.thawed.set()
-            self.thawed = anyio.Event()
+            self.unfrozen.set()
+            self.unfrozen = anyio.Event()
 
     @property
     def is_rebooting(self) -> bool:
-        """Whether the VM is not up now."""
+        """Whether the VM is currently rebooting."""
         return time.monotonic() < self.rebooting_until
 
     def begin(self, key: str, path: str) -> int:
@@ -100,7 +100,7 @@
             self.log[number] = run._replace(ended=time.time(), outcome=outcome)
 
     def reboot(self, seconds: float) -> int:
-        """Go away for ``seconds``; return how many requests that cut off."""
+        """Simulate a reboot; return the number of interrupted requests."""
         running = [run.run for run in self.log if run.outcome == "running"]
         for number in running:
             self.end(number, "cut off")
@@ -147,14 +147,14 @@
         with anyio.CancelScope() as cancel:
             worker.scopes[number] = cancel
             try:
-                await _work(worker, scope["query_string"])
+                await _run_work(worker, scope["query_string"])
             except anyio.get_cancelled_exc_class():
                 worker.end(number, "left")
                 raise
             finally:
                 del worker.scopes[number]
         if cancel.cancelled_caught:
-            raise ConnectionAbortedError("the VM reboots")
+            raise ConnectionAbortedError("the VM is rebooting")
         worker.end(number, "failed" if switches.fail else "done")
     await anyio.sleep(switches.late)
     answer = {
@@ -164,14 +164,14 @@
         "echo": body.decode("utf-8", "replace"),
     }
     if switches.partial:
-        await _answer_part(send, answer)
+        await _answer_partially(send, answer)
     await _answer_json(send, 500 if switches.fail else 200, answer)
 
 
-async def _work(worker: Worker, query: bytes) -> None:
+async def _run_work(worker: Worker, query: bytes) -> None:
     fields = urllib.parse.parse_qs(query.decode())
     while worker.switches.frozen:
-        await worker.thawed.wait()
+        await worker.unfrozen.wait()
     await anyio.sleep(float(fields.get("work", ["0"])[0]) * worker.switches.slow)
 
 
@@ -203,20 +203,22 @@
     await send({"type": "http.response.body", "body": data})
 
 
-async def _answer_part(send: Any, value: Any) -> None:
+async def _answer_partially(send: Any, value: Any) -> None:
     data = json.dumps(value).encode()
     headers = [(b"content-length", str(len(data)).encode())]
     await send({"type": "http.response.start", "status": 200, "headers": headers})
     half = data[: len(data) // 2]
     await send({"type": "http.response.body", "body": half, "more_body": True})
-    raise ConnectionAbortedError("broken on purpose in the middle of an answer")
+    raise ConnectionAbortedError(
+        "connection aborted on purpose in the middle of an answer"
+    )
 
 
 def run() -> None:
     """Run the workers named as ``NAME=PORT`` on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("worker", nargs="+", help="NAME=PORT")
-    parser.add_argument("--slots", type=int, default=SLOTS)
+    parser.add_argument("--slots", type=int, default=DEFAULT_SLOTS)
     parsed = parser.parse_args()
     workers = {}
     for text in parsed.worker:
