--- a/standins/soak/scene.py
+++ b/standins/soak/scene.py
@@ -160,7 +160,10 @@
         """Ask for an upkeep of VMs, one at a time."""
         fields = {"wave": number, "machines": vms, "duration_s": within, "ceiling": 1}
         self.store.rows.put(
-            entries.OPERATOR_TABLE, "", entries.name_wave(number), orjson.dumps(fields)
+            entries.OPERATOR_TABLE,
+            "",
+            entries.get_wave_key(number),
+            orjson.dumps(fields),
         )
 
 
--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -40,7 +40,7 @@
 
     def read_worker(key: str, value: bytes) -> Any:
         entry = original(key, value)
-        if isinstance(entry, entries.Bad):
+        if isinstance(entry, entries.InvalidEntry):
             return entry
         return entry._replace(leaving=False)
 
@@ -63,7 +63,7 @@
 def stand_still_at_gone_rows() -> None:
     """Expect rows that a lost answer hid the removal of, for ever."""
     ledger.Ledger._drop_removed_rows = lambda self, dropped: None
-    ledger.rows.list_gone = lambda conditions, found: ()
+    ledger.rows.list_missing = lambda conditions, found: ()
 
 
 def keep_what_was_led() -> None:
--- a/standins/soak/yard.py
+++ b/standins/soak/yard.py
@@ -288,7 +288,7 @@
         body = {"clock_ms": int(life.read_clock(http.read_clock()) * 1000)}
         if verdict is workers.Verdict.DONE:
             return store.Answer(200, body)
-        reasons = {one: text for text, one in workers.REASONS.items()}
+        reasons = {one: text for text, one in workers.VERDICTS_BY_REASON.items()}
         return store.Answer(409, {**body, "reason": reasons[verdict]})
 
 
--- a/wigeonhitch/daemon/main.py
+++ b/wigeonhitch/daemon/main.py
@@ -36,7 +36,7 @@
         for one in loaded.problems:
             print(f"{settings}: {problem.format_problem(one)}", file=sys.stderr)
         return EXIT_SETTINGS
-    log.prepare(loaded.settings.log.level)
+    log.configure(loaded.settings.log.level)
     for name in ("callers", "operators", "peers"):
         if getattr(loaded.settings, name).tls is None:
             log.log_change("TLS is off", listener=name)
--- a/wigeonhitch/fleet/runner.py
+++ b/wigeonhitch/fleet/runner.py
@@ -131,7 +131,7 @@
         if not await self._write(transaction, vm_change.step.value):
             return False
         if vm_change.step is change.Step.LOSE:
-            log.log_problem("VM is down", vm=vm_change.row.vm, why=vm_change.why)
+            log.log_warning("VM is down", vm=vm_change.row.vm, why=vm_change.why)
         if vm_change.step is change.Step.REBOOT:
             await self._request_reboot(self.seen.view.vms[vm_change.row.vm])
         return True
--- a/wigeonhitch/front/application.py
+++ b/wigeonhitch/front/application.py
@@ -161,7 +161,7 @@
         try:
             return await self._route(parsed, hop, receive)
         except Exception:
-            log.log_fault("a request failed", service=parsed.service)
+            log.log_exception("a request failed", service=parsed.service)
             refusal = verdict.may_have_run(verdict.Reason.FAULT)
             return refusal, reply.make_refusal(refusal)
 
--- a/wigeonhitch/idempotency/store.py
+++ b/wigeonhitch/idempotency/store.py
@@ -286,7 +286,7 @@
         if self._core.is_failing != self._was_failing:
             self._was_failing = self._core.is_failing
             state = "cannot be written" if self._was_failing else "can be written again"
-            log.log_problem("idempotency records", state=state)
+            log.log_warning("idempotency records", state=state)
 
     def _answer(self, made: decision.Decision) -> None:
         reply = self._replies.pop(made.ticket, None)
--- a/wigeonhitch/leadership/task.py
+++ b/wigeonhitch/leadership/task.py
@@ -76,7 +76,7 @@
         self._get_granted = get_granted
         self._member_version = 0
         self._is_claiming = False
-        self._renewals = log.Dependency("renewal of the lease")
+        self._renewals = log.OutageLogger("renewal of the lease")
         self._pools_read: set[str] = set()
         self._retry_not_before: dict[str, float] = {}
         """Earliest time of the next claim of a pool whose claim the store refused."""
@@ -172,7 +172,7 @@
             self._member_version = _find_version(change.conflicts, name)
             return False
         done = change.outcome is table.Outcome.DONE
-        self._renewals.note(done, change.reason)
+        self._renewals.record(done, change.reason)
         if not done:
             return False
         self._member_version = change.version
@@ -433,7 +433,7 @@
         self, conditions: tuple[rows.Condition, ...], conflicts: tuple[rows.Row, ...]
     ) -> None:
         """Apply the renewals and removals of members that made a claim fail."""
-        for removed in rows.list_gone(conditions, conflicts):
+        for removed in rows.list_missing(conditions, conflicts):
             if removed.table == record.MEMBER_TABLE:
                 self.leadership.remove_member(removed.key)
         for row in conflicts:
--- a/wigeonhitch/maintenance/task.py
+++ b/wigeonhitch/maintenance/task.py
@@ -401,7 +401,7 @@
             self.state.on_move_refused(order.vm, order.pool)
 
     async def _show_wave(self, order: core.Show) -> None:
-        key = entries.name_wave(order.wave)
+        key = entries.get_wave_key(order.wave)
         value = entries.write_wave_status(order.completed)
         write = rows.Write(entries.STATUS_TABLE, "", key, value)
         change = await self.deps.store.commit(
--- a/wigeonhitch/maintenance/wave.py
+++ b/wigeonhitch/maintenance/wave.py
@@ -187,4 +187,4 @@
 
 def _is_urgent(state: core.FleetState, wave: entries.WaveOrder, now: float) -> bool:
     elapsed = now - state.wave_started_at.get(wave.number, now)
-    return elapsed > URGENT_SHARE * wave.within
+    return elapsed > URGENT_SHARE * wave.duration
--- a/wigeonhitch/membership/holder.py
+++ b/wigeonhitch/membership/holder.py
@@ -162,4 +162,4 @@
         if is_live != self._was_live:
             self._was_live = is_live
             state = "live" if is_live else "lapsed"
-            log.log_problem("own daemon row", state=state)
+            log.log_warning("own daemon row", state=state)
--- a/wigeonhitch/membership/transport.py
+++ b/wigeonhitch/membership/transport.py
@@ -141,7 +141,7 @@
             frame = codec.encode(self._registry, self._daemon, message)
         except Exception:
             self._instruments.count("peer_failed_total", "Messages that failed here.")
-            log.log_fault("a message can't be encoded", kind=type(message).__name__)
+            log.log_exception("a message can't be encoded", kind=type(message).__name__)
             return
         self._instruments.count(
             "peer_sent_bytes_total", "Bytes to peers.", len(frame), purpose=purpose
@@ -233,7 +233,7 @@
             self._receive(received)
         except Exception:
             self._instruments.count("peer_failed_total", "Messages that failed here.")
-            log.log_fault("a peer's message failed here", peer=received.sender)
+            log.log_exception("a peer's message failed here", peer=received.sender)
 
     def _refuse(self, problem: codec.Problem) -> None:
         self._instruments.count(
--- a/wigeonhitch/operators/service.py
+++ b/wigeonhitch/operators/service.py
@@ -159,7 +159,7 @@
     try:
         return await matched_route.handler(request)
     except Exception:
-        log.log_fault(
+        log.log_exception(
             "request handler failed",
             method=matched_route.method,
             path=matched_route.path,
--- a/wigeonhitch/platform/advice.py
+++ b/wigeonhitch/platform/advice.py
@@ -4,7 +4,7 @@
 
 from wigeonhitch.platform import http
 
-__all__ = ["Advice", "AdviceCalls", "Opinion", "StepName"]
+__all__ = ["Advice", "AdviceCalls", "AdviceReply", "StepName"]
 
 
 class StepName(NamedTuple):
@@ -15,7 +15,7 @@
     step: int
 
 
-class Opinion(NamedTuple):
+class AdviceReply(NamedTuple):
     """Tickets by worker; None when there is no answer, with the reason.
 
     ``validity`` is the time in seconds for which the tickets hold.
@@ -31,7 +31,7 @@
 
     async def ask(
         self, step: StepName, workers: list[str], *, timeout: float
-    ) -> Opinion:
+    ) -> AdviceReply:
         """Return the tickets of the workers that may run a step."""
         ...
 
@@ -45,16 +45,16 @@
 
     async def ask(
         self, step: StepName, workers: list[str], *, timeout: float
-    ) -> Opinion:
+    ) -> AdviceReply:
         """Return the tickets of the workers that may run a step."""
         if not self._address:
-            return Opinion(None, reason="no address")
+            return AdviceReply(None, reason="no address")
         name = f"{step.job}.{step.occurrence}.{step.step}"
         body = {"step": name, "workers": workers}
         reply = await self._client.call(
             "POST", self._address, "/v1/advise", timeout=timeout, body=body
         )
         if reply.status != 200 or not isinstance(reply.body, dict):
-            return Opinion(None, reason=reply.reason or f"status {reply.status}")
+            return AdviceReply(None, reason=reply.reason or f"status {reply.status}")
         tickets = {row[0]: row[1] for row in reply.body.get("good", ())}
-        return Opinion(tickets, reply.body.get("validity_ms", 0) / 1000)
+        return AdviceReply(tickets, reply.body.get("validity_ms", 0) / 1000)
--- a/wigeonhitch/platform/client.py
+++ b/wigeonhitch/platform/client.py
@@ -184,7 +184,7 @@
 
     async def _act(self, request: transport.Request, timeout: float) -> table.Outcome:
         reply, lost = await self._repeat(request, timeout, self.writes)
-        outcome = resolve.judge_idempotent(reply, lost)
+        outcome = resolve.classify_idempotent(reply, lost)
         if outcome is table.Outcome.UNKNOWN:
             self.unknown[request.purpose] += 1
         return outcome
@@ -214,7 +214,7 @@
         left = deadline - self._clock()
         if not tries:
             return left
-        await self._sleep(resolve.compute_pause(tries, left, self._rng.random()))
+        await self._sleep(resolve.compute_backoff(tries, left, self._rng.random()))
         return deadline - self._clock()
 
     async def _send(
--- a/wigeonhitch/platform/entries.py
+++ b/wigeonhitch/platform/entries.py
@@ -16,10 +16,10 @@
     "OPERATOR_TABLE",
     "STATUS_TABLE",
     "WORKER_TABLE",
-    "Bad",
+    "InvalidEntry",
     "WaveOrder",
     "WorkerEntry",
-    "name_wave",
+    "get_wave_key",
     "read_catalogue",
     "read_wave",
     "read_wave_number",
@@ -35,7 +35,7 @@
 WAVE_PREFIX = "wave/"
 
 
-class Bad(NamedTuple):
+class InvalidEntry(NamedTuple):
     """An entry that can't be used, and why."""
 
     key: str
@@ -63,22 +63,22 @@
 class WaveOrder(NamedTuple):
     """An operator's order to maintain VMs, at most ``ceiling`` at once.
 
-    ``within`` is the time in seconds in which the wave should be through.
+    ``duration`` is the time in seconds in which the wave should be through.
     """
 
     number: int
     vms: tuple[str, ...]
-    within: float
+    duration: float
     ceiling: int
 
 
-def read_worker(key: str, value: bytes) -> WorkerEntry | Bad:
+def read_worker(key: str, value: bytes) -> WorkerEntry | InvalidEntry:
     """Read a worker's entry."""
     try:
         fields = orjson.loads(value)
         state = fields["state"]
         if state not in ("ready", "draining"):
-            return Bad(key, f"state {state!r}; expected ready or draining")
+            return InvalidEntry(key, f"state {state!r}; expected ready or draining")
         clock = fields.get("clock_ms")
         remaining = fields.get("remaining_ms")
         return WorkerEntry(
@@ -93,7 +93,7 @@
             None if remaining is None else float(remaining) / 1000,
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Bad(key, f"{type(error).__name__}: {error}")
+        return InvalidEntry(key, f"{type(error).__name__}: {error}")
 
 
 def read_room(fields: dict[str, Any]) -> model.Room:
@@ -105,7 +105,7 @@
     )
 
 
-def read_catalogue(value: bytes) -> model.Catalogue | Bad:
+def read_catalogue(value: bytes) -> model.Catalogue | InvalidEntry:
     """Read the operator's configuration."""
     try:
         fields = orjson.loads(value)
@@ -117,10 +117,10 @@
             int(limits.get("body_bytes", 262144)),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Bad(CATALOGUE_KEY, f"{type(error).__name__}: {error}")
+        return InvalidEntry(CATALOGUE_KEY, f"{type(error).__name__}: {error}")
 
 
-def read_wave(key: str, value: bytes) -> WaveOrder | Bad:
+def read_wave(key: str, value: bytes) -> WaveOrder | InvalidEntry:
     """Read an order of a wave."""
     try:
         fields = orjson.loads(value)
@@ -131,7 +131,7 @@
             max(1, int(fields["ceiling"])),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Bad(key, f"{type(error).__name__}: {error}")
+        return InvalidEntry(key, f"{type(error).__name__}: {error}")
 
 
 def write_wave_status(completed: bool) -> bytes:
@@ -147,7 +147,7 @@
         return False
 
 
-def name_wave(number: int) -> str:
+def get_wave_key(number: int) -> str:
     """Return the key of a wave's row."""
     return f"{WAVE_PREFIX}{number}"
 
--- a/wigeonhitch/platform/fleet.py
+++ b/wigeonhitch/platform/fleet.py
@@ -119,7 +119,7 @@
         return _judge(reply)
 
 
-REASONS = {
+OUTCOMES_BY_REASON = {
     "fence": OrderOutcome.FENCED,
     "busy": OrderOutcome.BUSY,
     "wave": OrderOutcome.WRONG_WAVE,
@@ -133,7 +133,7 @@
         return OrderOutcome.DONE
     if reply.status == 409:
         reason = reply.body.get("reason") if isinstance(reply.body, dict) else ""
-        return REASONS.get(reason, OrderOutcome.BUSY)
+        return OUTCOMES_BY_REASON.get(reason, OrderOutcome.BUSY)
     if 400 <= reply.status < 500:
         return OrderOutcome.REFUSED
     return OrderOutcome.UNKNOWN
--- a/wigeonhitch/platform/node.py
+++ b/wigeonhitch/platform/node.py
@@ -6,7 +6,7 @@
 __all__ = [
     "NODE_FILE_VARIABLE",
     "Bounds",
-    "Checked",
+    "CheckResult",
     "NodeSettings",
     "StoreRates",
     "check",
@@ -21,9 +21,9 @@
 class Bounds(NamedTuple):
     """Times that the users' rules set, in seconds."""
 
-    grace: float
+    termination_grace: float
     """From SIGTERM to SIGKILL."""
-    touch: float
+    recovery: float
     """After the end of a disturbance until time bounds hold again."""
     longest_lease: float
     """Longest lease that a worker grants."""
@@ -32,13 +32,13 @@
     order_gap: float
     """Two daemons don't order about one VM within this time."""
     gang_wait: float
-    notice: float
+    max_absence: float
     """A lasting task away for longer counts as away for any cause."""
-    finals_kept: float
+    final_retention: float
     """How long a final job can still be asked for."""
-    move: float
-    upkeep: float
-    configuration: float = 2.0
+    move_seconds: float
+    maintenance_seconds: float
+    configuration_deadline: float = 2.0
     """From the acknowledgement of a configuration until it has to be in force."""
 
 
@@ -48,7 +48,7 @@
     writes: float
     reads: float
     row_bytes: int
-    across: bool = True
+    has_cross_part_transactions: bool = True
     """Whether a transaction may go across parts."""
 
 
@@ -67,7 +67,7 @@
     """Address of the calls on machines."""
     advice: str
     """Address of the advice service; may be empty."""
-    entry_period: float
+    entry_interval: float
     """Seconds between two writings of a worker's entry."""
     bounds: Bounds
     rates: StoreRates
@@ -77,7 +77,7 @@
     """Orders about VMs that the platform takes from all daemons together."""
 
 
-class Checked(NamedTuple):
+class CheckResult(NamedTuple):
     """Settings as far as they could be read, and every problem."""
 
     settings: NodeSettings
@@ -106,7 +106,7 @@
     return bool(lines) and all("=" in line.partition(":")[0] for line in lines)
 
 
-def check(text: str) -> Checked:
+def check(text: str) -> CheckResult:
     """Read the text of the file; every problem is named."""
     reader = _Reader(_split(text))
     settings = NodeSettings(
@@ -118,19 +118,20 @@
         store=reader.text("platform.address"),
         fleet=reader.text("cloud_api.address", ""),
         advice=reader.text("hint", ""),
-        entry_period=reader.number("heartbeat_ms", 1500) / 1000,
+        entry_interval=reader.number("heartbeat_ms", 1500) / 1000,
         bounds=Bounds(
-            grace=reader.number("parameters.grace_s", 6),
-            touch=reader.number("parameters.contact_ms", 3000) / 1000,
+            termination_grace=reader.number("parameters.grace_s", 6),
+            recovery=reader.number("parameters.contact_ms", 3000) / 1000,
             longest_lease=reader.number("parameters.hold_max_ms", 10000) / 1000,
             stop_grace=reader.number("parameters.kill_grace_ms", 1000) / 1000,
             order_gap=reader.number("parameters.lease_ms", 3000) / 1000,
             gang_wait=reader.number("parameters.gang_wait_ms", 3000) / 1000,
-            notice=reader.number("parameters.notice_ms", 4500) / 1000,
-            finals_kept=reader.number("parameters.status_s", 120),
-            move=reader.number("parameters.migrate_s", 1.5),
-            upkeep=reader.number("parameters.maintenance_s", 2),
-            configuration=reader.number("parameters.config_apply_ms", 2000) / 1000,
+            max_absence=reader.number("parameters.notice_ms", 4500) / 1000,
+            final_retention=reader.number("parameters.status_s", 120),
+            move_seconds=reader.number("parameters.migrate_s", 1.5),
+            maintenance_seconds=reader.number("parameters.maintenance_s", 2),
+            configuration_deadline=reader.number("parameters.config_apply_ms", 2000)
+            / 1000,
         ),
         rates=StoreRates(
             reader.number("platform.writes_per_s", 800),
@@ -138,13 +139,13 @@
             int(reader.number("platform.row_bytes", 65536)),
             reader.flag("platform.across", True),
         ),
-        cores=max(LEAST_CORES, _read_cores(reader)),
+        cores=max(MIN_CORES, _read_cores(reader)),
         orders_per_second=reader.number("cloud_api.duty_per_s", 64.0),
     )
-    return Checked(settings, tuple(reader.problems))
+    return CheckResult(settings, tuple(reader.problems))
 
 
-LEAST_CORES = 0.01
+MIN_CORES = 0.01
 """Processors that a process has at least; keeps shares of them finite."""
 
 
--- a/wigeonhitch/platform/resolve.py
+++ b/wigeonhitch/platform/resolve.py
@@ -23,9 +23,9 @@
     "ReplyKind",
     "Resolution",
     "Step",
-    "compute_pause",
+    "compute_backoff",
     "compute_try_timeout",
-    "judge_idempotent",
+    "classify_idempotent",
 ]
 
 MAX_TRIES = 4
@@ -233,7 +233,7 @@
         self._result = table.CommitResult(outcome, revision, conflicts, reason, now)
 
 
-def judge_idempotent(reply: Reply, lost_before: bool) -> table.Outcome:
+def classify_idempotent(reply: Reply, lost_before: bool) -> table.Outcome:
     """Return the outcome of a call that may be repeated freely.
 
     Parameters
@@ -259,7 +259,7 @@
     return 0.0 if left < MIN_TRY else max(MIN_TRY, left / 2)
 
 
-def compute_pause(tries: int, left: float, draw: float) -> float:
+def compute_backoff(tries: int, left: float, draw: float) -> float:
     """Return the seconds to pause before a repeat.
 
     Parameters
--- a/wigeonhitch/platform/rows.py
+++ b/wigeonhitch/platform/rows.py
@@ -21,7 +21,7 @@
     "Rows",
     "Transaction",
     "Write",
-    "list_gone",
+    "list_missing",
 ]
 
 
@@ -89,7 +89,7 @@
     received: float = 0.0
 
 
-def list_gone(
+def list_missing(
     conditions: tuple[Condition, ...], found: tuple[Row, ...]
 ) -> tuple[Condition, ...]:
     """Return the conditions that failed because their row doesn't exist.
--- a/wigeonhitch/platform/tests/test_resolve.py
+++ b/wigeonhitch/platform/tests/test_resolve.py
@@ -151,7 +151,7 @@
         limit = resolve.compute_try_timeout(left)
         if not limit:
             break
-        left -= limit + resolve.compute_pause(tries, left - limit, 1.0)
+        left -= limit + resolve.compute_backoff(tries, left - limit, 1.0)
         spent = 2.0 - left
     assert spent <= 2.0
     assert resolve.compute_try_timeout(0.01) == 0.0
--- a/wigeonhitch/platform/tests/test_site.py
+++ b/wigeonhitch/platform/tests/test_site.py
@@ -50,9 +50,9 @@
     settings = node.load(settings_file)
 
     assert (settings.name, settings.data_centre) == ("n1", "z1")
-    assert settings.bounds.grace == 6.0
+    assert settings.bounds.termination_grace == 6.0
     assert settings.cores == 1.5
-    assert not settings.rates.across
+    assert not settings.rates.has_cross_part_transactions
 
 
 def test_all_faults_of_settings_are_named_at_once(tmp_path):
@@ -95,12 +95,12 @@
     ],
 )
 def test_an_entry_of_another_writer_names_no_worker(value):
-    assert isinstance(entries.read_worker("i-1", value), entries.Bad)
+    assert isinstance(entries.read_worker("i-1", value), entries.InvalidEntry)
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b'{"version":1,"routes":[{}]}'])
 def test_a_configuration_that_can_not_be_read_is_refused(value):
-    assert isinstance(entries.read_catalogue(value), entries.Bad)
+    assert isinstance(entries.read_catalogue(value), entries.InvalidEntry)
 
 
 def test_a_configuration_is_decoded():
--- a/wigeonhitch/platform/workers.py
+++ b/wigeonhitch/platform/workers.py
@@ -246,7 +246,7 @@
         )
 
 
-REASONS = {
+VERDICTS_BY_REASON = {
     "fence": Verdict.FENCED,
     "old": Verdict.OLD,
     "late": Verdict.LATE,
@@ -281,7 +281,7 @@
         return Verdict.DONE
     if reply.status == 409:
         reason = reply.body.get("reason") if isinstance(reply.body, dict) else ""
-        return REASONS.get(reason, Verdict.FENCED)
+        return VERDICTS_BY_REASON.get(reason, Verdict.FENCED)
     if reply.status == 421:
         return Verdict.GONE
     if reply.status in (429, 503):
--- a/wigeonhitch/pool/compaction.py
+++ b/wigeonhitch/pool/compaction.py
@@ -119,7 +119,7 @@
             return ()
         for row in change.conflicts:
             self._update_version(row)
-        gone = rows.list_gone(work.transaction.conditions, change.conflicts)
+        gone = rows.list_missing(work.transaction.conditions, change.conflicts)
         for condition in gone:
             self._finals.pop(condition.key, None)
             self._compacted.pop(condition.key, None)
--- a/wigeonhitch/pool/ledger.py
+++ b/wigeonhitch/pool/ledger.py
@@ -161,7 +161,9 @@
             self._update_version(
                 row.table, row.key, row.version if row.value is not None else 0
             )
-        for condition in rows.list_gone(batch.transaction.conditions, change.conflicts):
+        for condition in rows.list_missing(
+            batch.transaction.conditions, change.conflicts
+        ):
             self._update_version(condition.table, condition.key, 0)
         self._drop_removed_rows(batch.dropped)
         durable = tuple(
--- a/wigeonhitch/pool/runner.py
+++ b/wigeonhitch/pool/runner.py
@@ -90,7 +90,7 @@
         self._committed = anyio.Event()
         self._wake_status = anyio.Event()
         self._status_triggers: tuple[bool, bool, int] = (False, False, 0)
-        self._commits = log.Dependency("commit of ends")
+        self._commits = log.OutageLogger("commit of ends")
         self._is_store_quick = True
         self._source = source.Source(self.pool, deps.store, self._wake)
         self._dispatcher = dispatcher.Dispatcher(
@@ -188,17 +188,17 @@
                 continue
             now = http.read_clock()
             candidates = ticket.select_vms(self.pool.vms.values(), now)
-            opinion = await self.deps.advice.ask(
+            advice_reply = await self.deps.advice.ask(
                 step, candidates, timeout=TICKET_TIMEOUT_SECONDS
             )
-            self.pool.tickets.on_opinion(step, opinion, now)
+            self.pool.tickets.on_advice(step, advice_reply, now)
             self._log_event(
                 "tickets requested",
                 job=step.job,
                 step=step[1:],
                 named=len(candidates),
-                got=None if opinion.tickets is None else len(opinion.tickets),
-                reason=opinion.reason,
+                got=None if advice_reply.tickets is None else len(advice_reply.tickets),
+                reason=advice_reply.reason,
             )
             self._wake()
 
@@ -241,7 +241,9 @@
             self.pool.deposed = True
             self._wake()
         conflict = change.reason == "conflict"
-        self._commits.note(result.done or conflict, change.reason, pool=self.owner.pool)
+        self._commits.record(
+            result.done or conflict, change.reason, pool=self.owner.pool
+        )
         if conflict:
             found_versions = {row.key: row.version for row in change.conflicts}
             self._log_event(
--- a/wigeonhitch/pool/source.py
+++ b/wigeonhitch/pool/source.py
@@ -123,7 +123,7 @@
         try:
             job_record = record.read_job(row.key, row.value)
         except (ValueError, KeyError, TypeError) as error:
-            log.log_problem("job row not readable", job=row.key, reason=str(error))
+            log.log_warning("job row not readable", job=row.key, reason=str(error))
             self._unreadable.add(row.key)
             return
         if job_record.pool != self._pool.name:
--- a/wigeonhitch/pool/tests/test_ticket.py
+++ b/wigeonhitch/pool/tests/test_ticket.py
@@ -22,7 +22,7 @@
 
 
 def answer(bench, tickets, now=NOW):
-    bench.pool.tickets.on_opinion(STEP, advice.Opinion(tickets, 3.0), now)
+    bench.pool.tickets.on_advice(STEP, advice.AdviceReply(tickets, 3.0), now)
 
 
 def test_nothing_starts_without_a_ticket_and_tickets_are_requested_once(advised_bench):
--- a/wigeonhitch/pool/ticket.py
+++ b/wigeonhitch/pool/ticket.py
@@ -58,13 +58,15 @@
             del self._requested[step]
         return step
 
-    def on_opinion(
-        self, step: advice.StepName, opinion: advice.Opinion, now: float
+    def on_advice(
+        self, step: advice.StepName, advice_reply: advice.AdviceReply, now: float
     ) -> None:
         """Apply an answer; ``now`` is the time of the request."""
         self._not_before[step] = now + ASK_AGAIN_SECONDS
-        if opinion.tickets is not None:
-            self._valid[step] = _StepTickets(opinion.tickets, now + opinion.validity)
+        if advice_reply.tickets is not None:
+            self._valid[step] = _StepTickets(
+                advice_reply.tickets, now + advice_reply.validity
+            )
 
     def drop(self, step: advice.StepName) -> None:
         """Drop a step's tickets after a worker refused one."""
--- a/wigeonhitch/site/configuration.py
+++ b/wigeonhitch/site/configuration.py
@@ -86,8 +86,8 @@
             self._apply_catalogue(row.value)
         elif row.key.startswith(entries.WAVE_PREFIX):
             order = entries.read_wave(row.key, row.value)
-            if isinstance(order, entries.Bad):
-                log.log_problem(
+            if isinstance(order, entries.InvalidEntry):
+                log.log_warning(
                     "invalid wave order ignored", key=row.key, reason=order.reason
                 )
             else:
@@ -95,8 +95,8 @@
 
     def _apply_catalogue(self, value: bytes) -> None:
         catalogue = entries.read_catalogue(value)
-        if isinstance(catalogue, entries.Bad):
-            log.log_problem("invalid configuration ignored", reason=catalogue.reason)
+        if isinstance(catalogue, entries.InvalidEntry):
+            log.log_warning("invalid configuration ignored", reason=catalogue.reason)
             return
         if self.catalogue is not None and catalogue.version <= self.catalogue.version:
             return
--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -57,7 +57,7 @@
         self._group: anyio.abc.TaskGroup | None = None
         self._runners: dict[str, pool_runner.Runner] = {}
         self._configuration = configuration.ConfigurationFollower(
-            store, self._on_catalogue, settings.bounds.configuration
+            store, self._on_catalogue, settings.bounds.configuration_deadline
         )
         self._registry = registry.WorkerRegistry(
             store, lambda: bool(self._runners), self._on_worker, self._on_removed
@@ -70,7 +70,7 @@
             life,
             http.read_clock(),
             settings.cores,
-            settings.rates.across,
+            settings.rates.has_cross_part_transactions,
         )
         self._elector = election.LeaderElector(
             self._leadership,
@@ -176,7 +176,7 @@
         try:
             await runner.run()
         except Exception:
-            log.log_fault("pool leader task failed", pool=pool)
+            log.log_exception("pool leader task failed", pool=pool)
         if self._runners.get(pool) is not runner:
             return
         log.log_change("pool leader task ended", pool=pool, deposed=runner.pool.deposed)
@@ -189,7 +189,7 @@
         try:
             await runner.run()
         except Exception:
-            log.log_fault("fleet leader task failed")
+            log.log_exception("fleet leader task failed")
         if self._fleet_runner is not runner:
             return
         self._fleet_runner = None
@@ -208,7 +208,7 @@
             lambda: self._leadership.clock.compute_latest(http.read_clock()),
             self.settings.name,
             bounds.order_gap,
-            bounds.upkeep,
+            bounds.maintenance_seconds,
             self.settings.orders_per_second,
         )
         return fleet_task.Runner(owner, fleet_dependencies, http.read_clock())
@@ -226,11 +226,11 @@
             self._elector.may_order,
             lambda: self._elector.last_renewed_at,
             lambda: self._leadership.clock.compute_earliest(http.read_clock()),
-            bounds.finals_kept,
+            bounds.final_retention,
             view.TimeBounds(
                 granted_lease or max_lease,
                 bounds.stop_grace,
-                not self.settings.rates.across,
-                bounds.move,
+                not self.settings.rates.has_cross_part_transactions,
+                bounds.move_seconds,
             ),
         )
--- a/wigeonhitch/site/layout.py
+++ b/wigeonhitch/site/layout.py
@@ -60,7 +60,7 @@
     while (state := await _check_or_write(store)) is not LayoutState.MATCH:
         if state is LayoutState.MISMATCH and not is_reported:
             expected = encode_layout().decode()
-            log.log_problem("store has another layout", expected=expected)
+            log.log_warning("store has another layout", expected=expected)
             is_reported = True
         await anyio.sleep(
             MISMATCH_RECHECK_SECONDS
--- a/wigeonhitch/site/main.py
+++ b/wigeonhitch/site/main.py
@@ -30,13 +30,13 @@
     """Start the daemon with the settings file that the environment names."""
     path = os.environ.get(node.NODE_FILE_VARIABLE, "")
     stream = log.PipeStream(sys.stdout.fileno())
-    log.prepare("info", stream)
+    log.configure("info", stream)
     try:
         settings = node.load(path)
     except (OSError, ValueError) as error:
-        log.log_problem("settings can't be used", path=path, reason=str(error))
+        log.log_warning("settings can't be used", path=path, reason=str(error))
         sys.exit(EXIT_INVALID_SETTINGS)
-    log.prepare("info", stream, daemon=settings.name)
+    log.configure("info", stream, daemon=settings.name)
     anyio.run(serve, settings)
 
 
--- a/wigeonhitch/site/registry.py
+++ b/wigeonhitch/site/registry.py
@@ -96,9 +96,9 @@
             self._remove(row.key)
             return
         entry = entries.read_worker(row.key, row.value)
-        if isinstance(entry, entries.Bad):
+        if isinstance(entry, entries.InvalidEntry):
             if row.key in self.workers:
-                log.log_problem(
+                log.log_warning(
                     "invalid worker entry ignored", vm=row.key, reason=entry.reason
                 )
             self._remove(row.key)
--- a/wigeonhitch/telemetry/log.py
+++ b/wigeonhitch/telemetry/log.py
@@ -16,14 +16,14 @@
 from absl import flags, logging
 
 __all__ = [
-    "Dependency",
+    "OutageLogger",
     "Formatter",
     "Limiter",
     "PipeStream",
     "log_change",
-    "log_fault",
-    "log_problem",
-    "prepare",
+    "log_exception",
+    "log_warning",
+    "configure",
 ]
 
 # Libraries that write a line per request; what they say is counted instead.
@@ -123,7 +123,7 @@
         return json.dumps(line, default=str)
 
 
-def prepare(
+def configure(
     level: str, stream: "TextIO | PipeStream" = sys.stderr, **fixed: Any
 ) -> None:
     """Send absl's log lines to ``stream`` as JSON, from ``level`` on.
@@ -161,18 +161,18 @@
         logging.get_absl_logger().info(change, extra={"fields": fields})
 
 
-def log_problem(change: str, **fields: Any) -> None:
+def log_warning(change: str, **fields: Any) -> None:
     """Log a change that an operator should look at, as a warning."""
     if LIMITER.admit(change, time.monotonic()):
         logging.get_absl_logger().warning(change, extra={"fields": fields})
 
 
-def log_fault(change: str, **fields: Any) -> None:
+def log_exception(change: str, **fields: Any) -> None:
     """Log the exception being handled, a fault of this program, as an error."""
     logging.get_absl_logger().exception(change, extra={"fields": fields})
 
 
-class Dependency:
+class OutageLogger:
     """Logs when something that is depended on is lost, and when it is back.
 
     Calls that fail in between are counted and told with the return, so that
@@ -183,9 +183,9 @@
         self._name = name
         self._failures = 0
 
-    def note(self, worked: bool, reason: str = "", **fields: Any) -> None:
+    def record(self, succeeded: bool, reason: str = "", **fields: Any) -> None:
         """Take note of a call's success or failure."""
-        if not worked:
+        if not succeeded:
             self._failures += 1
             if self._failures == 1:
                 log_change(f"{self._name} lost", reason=reason, **fields)
--- a/wigeonhitch/telemetry/tests/test_telemetry.py
+++ b/wigeonhitch/telemetry/tests/test_telemetry.py
@@ -44,7 +44,7 @@
 
 def test_unknown_log_level_is_refused():
     with pytest.raises(ValueError, match="expected one of"):
-        log.prepare("loud")
+        log.configure("loud")
 
 
 def test_hops_are_spans_of_one_trace():
@@ -132,10 +132,10 @@
 
 
 def test_a_lost_dependency_makes_two_lines(caplog):
-    dependency = log.Dependency("store")
+    outage_logger = log.OutageLogger("store")
     with caplog.at_level(logging.INFO):
-        for worked in (True, False, False, False, True, True):
-            dependency.note(worked, "timeout")
+        for succeeded in (True, False, False, False, True, True):
+            outage_logger.record(succeeded, "timeout")
 
     assert [record.getMessage() for record in caplog.records] == [
         "store lost",
--- a/wigeonhitch/wire/codec.py
+++ b/wigeonhitch/wire/codec.py
@@ -18,7 +18,7 @@
 from wigeonhitch.wire.generated.peer import ttypes
 
 __all__ = [
-    "FRAME_LIMIT",
+    "MAX_FRAME_BYTES",
     "HEADER_SIZE",
     "Problem",
     "Received",
@@ -30,7 +30,7 @@
 
 # A frame holds at most one fleet document; a larger frame is a broken or
 # hostile peer, and is refused before memory is spent on it.
-FRAME_LIMIT = 4 * 1024 * 1024  # bytes
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # bytes
 HEADER = struct.Struct(">I")
 HEADER_SIZE = HEADER.size
 
@@ -91,8 +91,8 @@
 def read_size(header: bytes) -> int | Problem:
     """Return the size in bytes of the frame body that follows ``header``."""
     (size,) = HEADER.unpack(header)
-    if size > FRAME_LIMIT:
-        return Problem(f"frame of {size} bytes; expected at most {FRAME_LIMIT}")
+    if size > MAX_FRAME_BYTES:
+        return Problem(f"frame of {size} bytes; expected at most {MAX_FRAME_BYTES}")
     return size
 
 
@@ -102,7 +102,7 @@
     try:
         envelope.read(
             TCompactProtocol.TCompactProtocol(
-                TTransport.TMemoryBuffer(body), string_length_limit=FRAME_LIMIT
+                TTransport.TMemoryBuffer(body), string_length_limit=MAX_FRAME_BYTES
             )
         )
         for field, record in registry.fields.items():
--- a/wigeonhitch/wire/tests/test_codec.py
+++ b/wigeonhitch/wire/tests/test_codec.py
@@ -102,7 +102,7 @@
 
 
 def test_oversized_frame_is_refused_before_it_is_read():
-    header = codec.HEADER.pack(codec.FRAME_LIMIT + 1)
+    header = codec.HEADER.pack(codec.MAX_FRAME_BYTES + 1)
     assert isinstance(codec.read_size(header), codec.Problem)
 
 
