--- a/standins/soak/without.py
+++ b/standins/soak/without.py
@@ -63,7 +63,7 @@
 def stand_still_at_gone_rows() -> None:
     """Expect rows that a lost answer hid the removal of, for ever."""
     ledger.Ledger._drop_removed_rows = lambda self, dropped: None
-    ledger.rows.list_missing = lambda conditions, found: ()
+    ledger.rows.list_missing = lambda conditions, conflicts: ()
 
 
 def keep_what_was_led() -> None:
--- a/wigeonhitch/platform/rows.py
+++ b/wigeonhitch/platform/rows.py
@@ -90,7 +90,7 @@
 
 
 def list_missing(
-    conditions: tuple[Condition, ...], found: tuple[Row, ...]
+    conditions: tuple[Condition, ...], conflicts: tuple[Row, ...]
 ) -> tuple[Condition, ...]:
     """Return the conditions that failed because their row doesn't exist.
 
@@ -98,7 +98,7 @@
     is certain only where no row that is listed explains why the transaction
     failed; a later try shows the others.
     """
-    listed = {(row.table, row.part, row.key): row.version for row in found}
+    listed = {(row.table, row.part, row.key): row.version for row in conflicts}
     if any(listed.get(one[:3], one.version) != one.version for one in conditions):
         return ()
     return tuple(one for one in conditions if one.version and one[:3] not in listed)
