--- a/wigeonhitch/platform/entries.py
+++ b/wigeonhitch/platform/entries.py
@@ -43,7 +43,7 @@
 
 
 class WorkerEntry(NamedTuple):
-    """Registration of a worker, which is one instance of a VM.
+    """Registration of a worker, which is one incarnation of a VM.
 
     ``clock`` is the worker's monotonic clock in seconds at the time of writing,
     or None. ``remaining`` is the minimum time in seconds until a leaving worker
--- a/wigeonhitch/platform/fleet.py
+++ b/wigeonhitch/platform/fleet.py
@@ -19,7 +19,7 @@
 
 
 class Vm(NamedTuple):
-    """One VM; ``worker`` is the id of its current instance, or empty."""
+    """One VM; ``worker`` is the id of its current incarnation, or empty."""
 
     id: str
     pool: str
--- a/wigeonhitch/platform/workers.py
+++ b/wigeonhitch/platform/workers.py
@@ -37,7 +37,7 @@
     INVALID = "invalid"
     UNHEALTHY = "unhealthy"
     GONE = "gone"
-    """Another instance of the VM answered: the addressed one has ended."""
+    """Another incarnation of the VM answered: the addressed one has ended."""
 
 
 class Start(NamedTuple):
@@ -71,7 +71,7 @@
 
 
 class Ended(NamedTuple):
-    """The end of a run; numbers increase over the lifetime of a worker instance."""
+    """The end of a run; numbers increase within an incarnation of a VM."""
 
     number: int
     task: model.Task
