--- a/wigeonhitch/placement/calls.py
+++ b/wigeonhitch/placement/calls.py
@@ -236,9 +236,7 @@
     """
     worker = shard.vms.get(vm)
     entries = [shard.jobs[name] for name in sorted(shard.on_vm.get(vm, ()))]
-    alive = [
-        entry for entry in entries if entry.is_alive and entry.job.holds_reservation
-    ]
+    alive = [entry for entry in entries if entry.is_alive and entry.job.holds]
     bulk = [entry for entry in alive if not entry.job.is_urgent and not entry.pausing]
     if worker is None or not bulk:
         return
--- a/wigeonhitch/placement/job.py
+++ b/wigeonhitch/placement/job.py
@@ -180,7 +180,7 @@
         return self.due - self.asked.duration
 
     @property
-    def holds_reservation(self) -> bool:
+    def holds(self) -> bool:
         """Return whether the job holds a reservation on its worker."""
         return self.state in HOLDING and not self.paused
 
--- a/wigeonhitch/placement/ledger.py
+++ b/wigeonhitch/placement/ledger.py
@@ -106,10 +106,10 @@
 
     def apply_change(self, old: job.Job, new: job.Job) -> None:
         """Apply the change of one job to its reservation and quota."""
-        if old.holds_reservation:
+        if old.holds:
             self._add_usage(old, -1)
             self.reservation(old.vm).put(old.name, ZERO)
-        if new.holds_reservation:
+        if new.holds:
             self._add_usage(new, 1)
             self.reservation(new.vm).put(new.name, (new.cores, new.memory))
 
@@ -137,7 +137,7 @@
                 writes.append(table.Write(marker_key(shard, new.name), None))
                 writes.append(table.Write(ended_key(shard, new), {}))
             for item in (old, new):
-                if item.holds_reservation:
+                if item.holds:
                     vms.add(item.vm)
                     teams.add(item.asked.team)
         for vm in sorted(vms):
--- a/wigeonhitch/placement/reconciliation.py
+++ b/wigeonhitch/placement/reconciliation.py
@@ -191,7 +191,7 @@
     bulk is checkpointed before memory runs out.
     """
     item = entry.job
-    if not item.holds_reservation or entry.seen.progress < MIN_RECLAIM_PROGRESS:
+    if not item.holds or entry.seen.progress < MIN_RECLAIM_PROGRESS:
         return None
     used_cores, used_memory = entry.peak
     if used_cores <= 0 or used_memory <= 0:
--- a/wigeonhitch/placement/runner.py
+++ b/wigeonhitch/placement/runner.py
@@ -77,7 +77,7 @@
 async def _wake_controllers(
     reader: signal.SignalReader, controllers: Sequence[controller.ShardController]
 ) -> None:
-    """Wake the controllers; apart from reading, as the table may be slow or down."""
+    """Wake the controllers; separate from reads, as the table may be slow or down."""
     while True:
         reader.clear_cache()
         for each in controllers:
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -149,7 +149,7 @@
     def _replace(self, entry: attempt.Attempt, new: job.Job) -> None:
         old = entry.job
         self._unindex(old)
-        if old.holds_reservation and not new.holds_reservation:
+        if old.holds and not new.holds:
             self.dirty_pools.add(old.asked.pool)
         entry.job = new
         if (new.attempt, new.vm) != (old.attempt, old.vm) and (
@@ -207,7 +207,7 @@
             cores = memory = 0.0
             for name in self.on_vm.get(vm, ()):
                 entry = self.jobs[name]
-                if entry.job.holds_reservation and entry.is_alive:
+                if entry.job.holds and entry.is_alive:
                     cores += max(0.0, entry.seen.used_cores - entry.job.cores)
                     memory += max(0.0, entry.seen.used_memory - entry.job.memory)
             self.overrun[vm] = (cores, memory)
--- a/wigeonhitch/placement/tests/conftest.py
+++ b/wigeonhitch/placement/tests/conftest.py
@@ -32,7 +32,7 @@
 
 
 class Leases:
-    """Leases of one daemon; ``frozen`` plays a holder that misses its lapse."""
+    """Leases of one daemon, granted and withdrawn by the test."""
 
     def __init__(self, world, daemon):
         self.world = world
@@ -40,7 +40,7 @@
         self.held = {}
 
     def want(self, duty):
-        """Competing is done by the test."""
+        """Do nothing: the test decides which daemon holds the duty."""
 
     def unwant(self, duty):
         self.held.pop(duty, None)
@@ -50,7 +50,7 @@
 
 
 class World:
-    """Fake platform, one shard, and any number of daemons that keep it."""
+    """Fake platform, one shard, and any number of daemons that compete for it."""
 
     def __init__(self, vms=4, quota=(64.0, 256.0), lag=1.0):
         machines = [
@@ -64,12 +64,12 @@
             for number in range(vms)
         ]
         self.fake = fake.Fake(machines, usage_lag=lag)
-        self.plan = make_document(quota)
+        self.document = make_document(quota)
         self.unusable = set()
         self.stale_view = None
         self.controllers = {}
         self.readers = {}
-        self.waiting = collections.defaultdict(list)
+        self.pending_calls = collections.defaultdict(list)
         self.counters = collections.Counter()
         self.jobs = routes.JobRoutes(self.fake.table, shards=1)
 
@@ -82,7 +82,7 @@
         ]
 
     def get_controller(self, daemon):
-        """Return the keeper of a daemon, made on first use."""
+        """Return the controller of a daemon, created on first use."""
         if daemon not in self.controllers:
             client = self.fake.build_client(daemon)
             platform = message.Platform(
@@ -90,10 +90,10 @@
                 client,
                 Leases(self, daemon),
                 self.fleet,
-                lambda: self.plan,
+                lambda: self.document,
                 lambda: self.fake.now,
             )
-            queue = self.waiting[daemon]
+            queue = self.pending_calls[daemon]
             self.readers[daemon] = signal.SignalReader(platform, shards=1)
             self.controllers[daemon] = controller.ShardController(
                 platform,
@@ -105,7 +105,7 @@
         return self.controllers[daemon]
 
     def take_duty(self, daemon, freeze_others=False):
-        """Let a daemon take the duty over; others notice unless frozen."""
+        """Let a daemon take the duty over; the others lose it unless frozen."""
         duty = view.duty_name(0)
         self.get_controller(daemon)
         key = f"duty/{duty}"
@@ -114,27 +114,27 @@
         condition = table.Condition(key, row.version)
         write = table.Write(key, {"holder": daemon})
         store.commit([condition], [write], "", self.fake.now)
-        for name, each in self.controllers.items():
+        for name, other in self.controllers.items():
             if name != daemon and not freeze_others:
-                each._platform.leases.held.clear()
-        fresh = lease.Lease(duty, store.revision, float("inf"))
-        self.controllers[daemon]._platform.leases.held[duty] = fresh
+                other._platform.leases.held.clear()
+        new_lease = lease.Lease(duty, store.revision, float("inf"))
+        self.controllers[daemon]._platform.leases.held[duty] = new_lease
 
     def step(self, daemon, calls=True):
-        """Let a daemon decide once, and make its calls unless it is paused."""
-        subject = self.get_controller(daemon)
+        """Let a daemon take one step, and make its calls unless it is paused."""
+        shard_controller = self.get_controller(daemon)
         fake.run(self.readers[daemon].read())
         self.readers[daemon].clear_cache()
-        fake.run(subject.step())
+        fake.run(shard_controller.step())
         if calls:
             self.make_calls(daemon)
 
     def make_calls(self, daemon):
-        waiting, self.waiting[daemon][:] = list(self.waiting[daemon]), []
-        for function, args in waiting:
+        calls, self.pending_calls[daemon][:] = list(self.pending_calls[daemon]), []
+        for function, args in calls:
             fake.run(function(*args))
 
-    def run_for(self, daemon, seconds, step=0.5):
+    def play(self, daemon, seconds, step=0.5):
         for _ in range(int(seconds / step)):
             self.step(daemon)
             self.fake.advance(step)
@@ -153,25 +153,25 @@
         return job.decode(row.value)
 
     def close(self):
-        for each in self.controllers.values():
-            each.close()
+        for shard_controller in self.controllers.values():
+            shard_controller.close()
 
 
 @pytest.fixture
 def make_world():
-    made = []
+    worlds = []
 
     def make(**fields):
-        made.append(World(**fields))
-        return made[-1]
+        worlds.append(World(**fields))
+        return worlds[-1]
 
     yield make
-    for world in made:
+    for world in worlds:
         world.close()
 
 
 @pytest.fixture
 def world(make_world):
-    made = make_world()
-    made.take_duty("d1")
-    return made
+    world = make_world()
+    world.take_duty("d1")
+    return world
--- a/wigeonhitch/placement/tests/test_history.py
+++ b/wigeonhitch/placement/tests/test_history.py
@@ -1,6 +1,6 @@
-"""Interleavings of holders, faults and cancellations, judged by the platform.
+"""Random interleavings of holders, faults and cancellations.
 
-The ground truth is the log of executions and the rows of the fake platform.
+They are checked against the executions and the rows of the fake platform.
 """
 
 import collections
@@ -20,8 +20,8 @@
 
 
 def find_overlaps(executions):
-    """Return jobs of which two attempts ran at once, or one after the end."""
-    found = []
+    """Return jobs of which two attempts overlapped, or one ran after the finish."""
+    violations = []
     runs = collections.defaultdict(list)
     for item in executions.values():
         runs[item.spec.task.rpartition("/")[0]].append(item)
@@ -29,10 +29,10 @@
         items.sort(key=lambda item: item.started)
         for first, second in zip(items, items[1:], strict=False):
             if first.ended is None or second.started < first.ended:
-                found.append((name, "overlap"))
+                violations.append((name, "overlap"))
             if first.state is tasks.TaskState.FINISHED:
-                found.append((name, "ran again"))
-    return found
+                violations.append((name, "ran again"))
+    return violations
 
 
 class History(stateful.RuleBasedStateMachine):
@@ -90,12 +90,12 @@
 
     @stateful.rule(daemon=DAEMONS, seconds=st.sampled_from([2.0, 6.0, 30.0]))
     def play(self, daemon, seconds):
-        self.world.run_for(daemon, seconds, step=1.0)
+        self.world.play(daemon, seconds, step=1.0)
 
     @stateful.rule(daemon=DAEMONS, seconds=st.sampled_from([1.0, 10.0]))
     def suffer_outage(self, daemon, seconds):
         self.world.fake.switch(down=True)
-        self.world.run_for(daemon, seconds, step=1.0)
+        self.world.play(daemon, seconds, step=1.0)
         self.world.fake.switch(down=False)
 
     @stateful.rule(vm=VMS)
@@ -132,7 +132,7 @@
         for row in store.scan("job/", 0):
             item = job.decode(row.value)
             jobs[item.name] = item
-            if item.holds_reservation:
+            if item.holds:
                 used[item.asked.team, "cores"] += item.cores
                 used[item.asked.team, "memory"] += item.memory
                 held[item.vm, item.name] = (item.cores, item.memory)
@@ -162,7 +162,7 @@
         world.unusable.clear()
         world.take_duty("d1")
         for _ in range(40):
-            world.run_for("d1", 50, step=2.5)
+            world.play("d1", 50, step=2.5)
             if all(world.read_job(n, t).state in job.ENDED for t, n in self.names):
                 break
         else:
--- a/wigeonhitch/placement/tests/test_retention.py
+++ b/wigeonhitch/placement/tests/test_retention.py
@@ -9,8 +9,8 @@
     return [row.key for row in rows if row.key.startswith(("job/", "ended/"))]
 
 
-def pass_days(world, days):
-    """Step once an hour, and some times more for the batches."""
+def advance_days(world, days):
+    """Take several steps each hour, so that all batches are deleted."""
     for _ in range(24 * days):
         world.fake.advance(3600.0)
         for _ in range(4):
@@ -22,7 +22,7 @@
     """One finished job and 250 that were cancelled while queued."""
     world.submit("finished")
     names = [f"j{number}" for number in range(250)]
-    world.run_for("d1", 40)
+    world.play("d1", 40)
     for name in names:
         world.submit(name)
     world.ask(world.jobs.cancel_many, {"jobs": names}, team="coffee")
@@ -31,23 +31,25 @@
 
 
 def test_ended_jobs_are_deleted_after_the_retention_and_live_ones_kept(ended):
-    pass_days(ended, 6)
+    advance_days(ended, 6)
     assert len(read_rows(ended)) == 2 * 251
     ended.unusable = {"w0", "w1", "w2", "w3"}
     ended.submit("waiting")
-    pass_days(ended, 3)
+    advance_days(ended, 3)
     assert read_rows(ended) == ["job/coffee/waiting"]
     assert ended.read_job("waiting").state is job.JobState.QUEUED
 
 
 def test_a_holder_that_was_replaced_deletes_nothing(ended):
-    subject = retention.Retention(ended.get_controller("d1")._platform.table, 0)
+    replaced_retention = retention.Retention(
+        ended.get_controller("d1")._platform.table, 0
+    )
     held = ended.get_controller("d1")._platform.leases.current("placement/0")
     ended.fake.advance(9 * retention.DAY_SECONDS)
     ended.take_duty("d2", freeze_others=True)
     for _ in range(60):
         now = ended.fake.now
-        subject.is_due(now)
-        assert fake.run(subject.sweep(held, now)) == 0
+        replaced_retention.is_due(now)
+        assert fake.run(replaced_retention.sweep(held, now)) == 0
         ended.fake.advance(1800.0)
     assert len(read_rows(ended)) == 2 * 251
--- a/wigeonhitch/placement/tests/test_runner.py
+++ b/wigeonhitch/placement/tests/test_runner.py
@@ -5,27 +5,27 @@
 
 
 @pytest.mark.anyio
-async def test_the_runner_keeps_its_duties_and_releases_them(world, monkeypatch):
+async def test_the_runner_holds_its_duties_and_releases_them(world, monkeypatch):
     monkeypatch.setattr("wigeonhitch.placement.runner.POLL_SECONDS", 0.001)
     platform = world.get_controller("d1")._platform
     world.submit("one")
-    subject = runner.Runner(platform, shards=1)
+    shard_runner = runner.Runner(platform, shards=1)
     with anyio.fail_after(10):
         async with anyio.create_task_group() as group:
-            group.start_soon(subject.run)
+            group.start_soon(shard_runner.run)
             while world.read_job("one").state is not job.JobState.FINISHED:
                 world.fake.advance(0.5)
                 await anyio.sleep(0.002)
             group.cancel_scope.cancel()
     assert platform.leases.held == {}
-    assert subject.counters["takeovers"] == 1
+    assert shard_runner.counters["takeovers"] == 1
 
 
 @pytest.mark.anyio
-async def test_an_idle_shard_reads_signals_alone_until_a_job_comes(world, monkeypatch):
+async def test_an_idle_shard_reads_only_signals_until_a_job_arrives(world, monkeypatch):
     monkeypatch.setattr("wigeonhitch.placement.runner.POLL_SECONDS", 0.001)
     platform = world.get_controller("d1")._platform
-    subject = runner.Runner(platform, shards=1)
+    shard_runner = runner.Runner(platform, shards=1)
     scan = platform.table.scan
     scanned = []
 
@@ -42,7 +42,7 @@
     monkeypatch.setattr(platform.table, "scan", record)
     with anyio.fail_after(10):
         async with anyio.create_task_group() as group:
-            group.start_soon(subject.run)
+            group.start_soon(shard_runner.run)
             await run_job("one")
             await anyio.sleep(0.01)
             scanned.clear()
