--- a/wigeonhitch/configuration/watcher.py
+++ b/wigeonhitch/configuration/watcher.py
@@ -1,7 +1,7 @@
 """Task that keeps the version in force on one daemon up to date.
 
-One task owns the state; reads and sends run beside it and report back as
-events, so a slow store never delays a peer's news.
+One task owns the state. Reads and sends run in tasks of their own and report
+back as events, so that a slow store does not delay messages from peers.
 """
 
 from collections.abc import Callable
@@ -25,41 +25,41 @@
 FLEET_SIGNAL = "signal/fleet"
 SIGNALS = (proposal.SIGNAL, FLEET_SIGNAL)
 
-# Events that wait at most. Peers send a few a second; beyond that they are
-# dropped and counted, since every one of them is repeated or polled for.
-WAITING_EVENTS = 256
+# Maximum number of queued events. Peers send a few a second. Events beyond the
+# limit are dropped and counted: each is sent again, or polling replaces it.
+MAX_QUEUED_EVENTS = 256
 
-# Shortest sleep between two ticks, seconds.
-SHORTEST_WAIT = 0.01
+# Minimum sleep between two ticks.
+MIN_WAIT_SECONDS = 0.01
 
 
 class Peers(Protocol):
-    """Carries messages to other daemons, at most once and without promise."""
+    """Sends messages to other daemons, at most once and without guarantee."""
 
     async def send(self, peer: str, data: bytes) -> None:
-        """Send to one peer; a failure is not reported."""
+        """Send to one peer; failures are not reported."""
         ...
 
 
 class Watcher:
-    """Runs one `distribution.Distribution`.
+    """Runs a `distribution.Distribution`.
 
     Parameters
     ----------
     core : distribution.Distribution
-        The decisions.
+        The state machine that decides.
     rows : table.Table
         The platform's table.
     objects : table.ObjectStore
         The platform's object store.
     peers : Peers
-        Carries messages to other daemons.
+        Sends messages to other daemons.
     clock : callable
-        Seconds on the clock that counts suspension.
+        Returns seconds by a clock that includes time in suspension.
     install : callable
         Called with version and document whenever a version comes into force.
-    note_fleet : callable
-        Called with the version of the row ``signal/fleet`` when it moves.
+    on_fleet_change : callable
+        Called with the version of the row ``signal/fleet`` when it increases.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         clock: Callable[[], float],
         *,
         install: Callable[[int, document.Document], None],
-        note_fleet: Callable[[int], None] = lambda version: None,
+        on_fleet_change: Callable[[int], None] = lambda version: None,
     ) -> None:
         self.core = core
         self.rows = rows
@@ -79,40 +79,40 @@
         self.peers = peers
         self.clock = clock
         self.install = install
-        self.note_fleet = note_fleet
-        self.dropped = 0
-        self._fleet = 0
-        self._readiness = distribution.Readiness.STARTING
+        self.on_fleet_change = on_fleet_change
+        self.dropped_events = 0
+        self._fleet_version = 0
+        self._logged_readiness = distribution.Readiness.STARTING
         self._send, self._receive = anyio.create_memory_object_stream[message.Event](
-            WAITING_EVENTS
+            MAX_QUEUED_EVENTS
         )
 
     @property
     def readiness(self) -> distribution.Readiness:
-        """Whether this daemon may serve at this moment."""
+        """Whether this daemon may serve now."""
         return self.core.readiness(self.clock())
 
     def receive(self, peer: str, data: bytes) -> None:
-        """Take a message that a peer sent."""
+        """Queue a message from a peer; one that cannot be decoded is dropped."""
         received = message.decode(data)
         if received is not None:
-            self.post(message.Received(peer, received))
+            self.enqueue(message.Received(peer, received))
 
     def set_peers(self, peers: tuple[str, ...]) -> None:
-        """Take the present peers, without this daemon."""
-        self.post(message.PeersChanged(peers))
+        """Set the current peers, which exclude this daemon."""
+        self.enqueue(message.PeersChanged(peers))
 
-    def note_accepted(self, version: int, content: str, data: bytes) -> None:
-        """Take a version that this daemon itself put in force, and its content."""
-        self.post(message.Received("", message.Tell(version, content)))
-        self.post(message.Fetched(content, data))
+    def handle_accepted(self, version: int, content_hash: str, data: bytes) -> None:
+        """Queue a version that this daemon itself put in force, and its content."""
+        self.enqueue(message.Received("", message.Tell(version, content_hash)))
+        self.enqueue(message.Fetched(content_hash, data))
 
-    def post(self, event: message.Event) -> None:
-        """Queue an event; drop it when too many wait."""
+    def enqueue(self, event: message.Event) -> None:
+        """Queue an event, or drop and count it when the queue is full."""
         try:
             self._send.send_nowait(event)
         except anyio.WouldBlock:
-            self.dropped += 1
+            self.dropped_events += 1
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -121,21 +121,21 @@
                 await self._step(tasks)
 
     async def _step(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Wait for one event or the next tick and carry out what follows."""
+        """Wait for an event or the next tick, and start the resulting actions."""
         now = self.clock()
-        wait = max(self.core.next_wake(now) - now, SHORTEST_WAIT)
+        wait = max(self.core.next_wake(now) - now, MIN_WAIT_SECONDS)
         event: message.Event = message.Tick()
         with anyio.move_on_after(wait):
             event = await self._receive.receive()
         actions = self.core.handle(event, self.clock())
         if not isinstance(event, message.Tick):
-            # Under a stream of events the ticks must not starve.
+            # A steady stream of events must not starve the ticks.
             actions += self.core.handle(message.Tick(), self.clock())
         for action in actions:
-            self._carry_out(action, tasks)
+            self._start_action(action, tasks)
         self._log_readiness()
 
-    def _carry_out(self, action: message.Action, tasks: anyio.abc.TaskGroup) -> None:
+    def _start_action(self, action: message.Action, tasks: anyio.abc.TaskGroup) -> None:
         match action:
             case message.Poll():
                 tasks.start_soon(self._poll)
@@ -154,37 +154,37 @@
 
     async def _poll(self) -> None:
         started = self.clock()
-        patience = self.core.limits.patience
-        found = await self.rows.read(SIGNALS, purpose=PURPOSE, timeout=patience)
-        if found.outcome is not table.Outcome.DONE:
+        read_timeout = self.core.limits.read_timeout
+        answer = await self.rows.read(SIGNALS, purpose=PURPOSE, timeout=read_timeout)
+        if answer.outcome is not table.Outcome.DONE:
             await self._send.send(message.Polled(started, None))
             return
-        signal, fleet = found.rows
-        if fleet.version > self._fleet:
-            self._fleet = fleet.version
-            self.note_fleet(fleet.version)
-        await self._send.send(message.Polled(started, signal.version))
+        signal_row, fleet_row = answer.rows
+        if fleet_row.version > self._fleet_version:
+            self._fleet_version = fleet_row.version
+            self.on_fleet_change(fleet_row.version)
+        await self._send.send(message.Polled(started, signal_row.version))
 
     async def _read_current(self) -> None:
         started = self.clock()
         keys = (proposal.CURRENT, proposal.SIGNAL)
-        found = await self.rows.read(keys, purpose=PURPOSE)
-        if found.outcome is not table.Outcome.DONE:
+        answer = await self.rows.read(keys, purpose=PURPOSE)
+        if answer.outcome is not table.Outcome.DONE:
             await self._send.send(message.CurrentRead(started, 0, None))
             return
-        current = proposal.read_current(found.rows[0])
-        signal = found.rows[1].version
+        current = proposal.read_current(answer.rows[0])
+        signal = answer.rows[1].version
         read = message.CurrentRead(started, signal, current.version, current.hash)
         await self._send.send(read)
 
-    async def _fetch(self, content: str) -> None:
-        name = proposal.name_object(content)
+    async def _fetch(self, content_hash: str) -> None:
+        name = proposal.get_object_name(content_hash)
         data = await self.objects.get(name, purpose=PURPOSE)
-        await self._send.send(message.Fetched(content, data))
+        await self._send.send(message.Fetched(content_hash, data))
 
     def _log_readiness(self) -> None:
-        """Log a change of readiness, once."""
-        found = self.readiness
-        if found is not self._readiness:
-            log.log_change("document state", state=found.value)
-            self._readiness = found
+        """Log each change of readiness once."""
+        readiness = self.readiness
+        if readiness is not self._logged_readiness:
+            log.log_change("document state", state=readiness.value)
+            self._logged_readiness = readiness
--- /dev/null
+++ b/wigeonhitch/pool/runner.py
@@ -0,0 +1,315 @@
+"""Runner of one pool's leader: sends its orders and feeds back the answers."""
+
+import time
+
+import anyio
+import anyio.abc
+
+from wigeonhitch.jobs import model
+from wigeonhitch.leadership import record as leader_record
+from wigeonhitch.leadership import term
+from wigeonhitch.maintenance import record as maintenance
+from wigeonhitch.platform import entries, http, rows, table
+from wigeonhitch.pool import (
+    core,
+    dependencies,
+    dispatcher,
+    message,
+    planner,
+    source,
+    ticket,
+    vm,
+)
+from wigeonhitch.pool import record as pool_record
+from wigeonhitch.telemetry import log
+
+__all__ = ["Runner"]
+
+COMMIT_TIMEOUT_SECONDS = 1.0
+"""Time limit in seconds for a transaction: most take 4 ms, and 0.25 s if the store is
+slow."""
+
+COMPACTION_PERIOD_SECONDS = 0.25
+"""Seconds between transactions that compact rows of final jobs: each holds 20 rows,
+and a pool completes some three jobs a second."""
+
+QUICK_COMMIT_SECONDS = 0.05
+"""Seconds below which a transaction counts as quick; rows are compacted only then."""
+
+RETRY_SECONDS = 0.1
+"""Seconds before a failed call is retried."""
+
+MIN_ROUND_INTERVAL = 0.008
+"""Minimum seconds between two scheduling rounds, so that ends and jobs that arrive
+together are handled together; far below the tenth of a second per step that would
+matter to a job."""
+
+MAX_ROUND_INTERVAL = 0.25
+"""Maximum seconds between two rounds: lapsed leases and due times are only detected
+in a round."""
+
+COMMIT_WAIT_SECONDS = 0.6
+"""Seconds to wait for the commit of a VM's ends before its leases are renewed again."""
+
+TICKET_POLL_SECONDS = 0.02
+"""Seconds between checks for requested tickets."""
+
+TICKET_TIMEOUT_SECONDS = 2.0
+"""Time limit in seconds for a ticket request, which queues behind others of this
+daemon."""
+
+STATUS_PERIOD_SECONDS = 0.5
+"""Seconds between two writes of a changed status; readers accept counts up to 2 s
+old."""
+
+MIN_STATUS_INTERVAL_SECONDS = 0.1
+"""The same in seconds when VMs have become empty or a burst has begun: each tenth of a
+second of a burst of 4.5 s matters to the VMs that are moved for it."""
+
+
+class Runner:
+    """Leads one pool from its claim until leadership is given up or lost."""
+
+    def __init__(
+        self,
+        owner: leader_record.Owner,
+        deps: dependencies.Dependencies,
+        now: float,
+    ) -> None:
+        self.owner = owner
+        self._term = term.Term(deps.may_order)
+        deps = deps._replace(may_order=self._term.may_order)
+        self.deps = deps
+        self.pool = core.Pool(
+            owner.pool, owner.version, owner.epoch, deps.times, now, self._log_event
+        )
+        self.planner = planner.Planner(self.pool)
+        self._scope = anyio.CancelScope()
+        self._wake_round = anyio.Event()
+        self._wake_commit = anyio.Event()
+        self._committed = anyio.Event()
+        self._wake_status = anyio.Event()
+        self._status_triggers: tuple[bool, bool, int] = (False, False, 0)
+        self._commits = log.Dependency("commit of ends")
+        self._is_store_quick = True
+        self._source = source.Source(self.pool, deps.store, self._wake)
+        self._dispatcher = dispatcher.Dispatcher(
+            self.pool,
+            deps,
+            self.planner.plan_paces,
+            self._wake,
+            self._wait_until_committed,
+        )
+
+    # -- events from the daemon
+
+    def on_queues(self, queues: tuple[model.Queue, ...]) -> None:
+        """Apply the queues of the configuration in force."""
+        self.pool.on_queues(queues)
+        self._wake()
+
+    def on_worker(self, entry: entries.WorkerEntry, read_at: float) -> None:
+        """Apply a worker's entry, read at this daemon's time ``read_at``."""
+        self.pool.on_worker(entry, read_at)
+        self._wake()
+
+    def on_worker_removed(self, id: str) -> None:
+        """Record that a worker's entry was removed."""
+        self.pool.on_worker_removed(id)
+        self._wake()
+
+    def set_closings(self, closed: list[maintenance.Closing], version: int) -> None:
+        """Set the workers to be vacated or ended, as known at a store's version."""
+        self._source.take_closings(closed, version)
+
+    def compute_max_granted_lease(self) -> float:
+        """Return the longest lease that a worker may still have."""
+        return self._dispatcher.compute_max_granted_lease()
+
+    def stop(self) -> None:
+        """Stop leading; no order is sent afterwards."""
+        self._term.end()
+        self._scope.cancel()
+
+    # -- background tasks
+
+    async def run(self) -> None:
+        """Lead until stopped or deposed."""
+        with self._scope:
+            after = await self._source.load()
+            async with anyio.create_task_group() as group:
+                group.start_soon(self._source.follow, after)
+                group.start_soon(self._run_commits)
+                group.start_soon(self._publish_status)
+                group.start_soon(self._request_tickets)
+                group.start_soon(self._compact_rows)
+                await self._run_rounds(group)
+                group.cancel_scope.cancel()
+
+    # -- decisions
+
+    async def _run_rounds(self, group: anyio.abc.TaskGroup) -> None:
+        while not self.pool.deposed:
+            self._wake_round = anyio.Event()
+            if self.deps.may_order():
+                self._run_round(group)
+            if self.pool.ledger.has_work:
+                self._wake_commit.set()
+            await anyio.sleep(MIN_ROUND_INTERVAL)
+            with anyio.move_on_after(MAX_ROUND_INTERVAL):
+                await self._wake_round.wait()
+
+    def _run_round(self, group: anyio.abc.TaskGroup) -> None:
+        for machine in list(self.pool.vms.values()):
+            if machine.id not in self._dispatcher.renewing:
+                self._dispatcher.renewing.add(machine.id)
+                group.start_soon(self._dispatcher.renew_until_gone, machine)
+        orders = self.planner.plan(http.read_clock(), time.time())
+        triggers = (
+            self.planner.unmet > 0,
+            self.planner.exceeds_published_capacity(http.read_clock()),
+            self.planner.count_empty_vms(),
+        )
+        if triggers != self._status_triggers:
+            self._status_triggers = triggers
+            self._wake_status.set()
+        for order in orders:
+            if isinstance(order, message.Start):
+                group.start_soon(self._dispatcher.send_start, order)
+            else:
+                group.start_soon(self._dispatcher.send_stop, order)
+
+    async def _request_tickets(self) -> None:
+        """Request tickets, one call at a time, as the service requires."""
+        while True:
+            step = self.pool.tickets.pop_requested()
+            if step is None:
+                await anyio.sleep(TICKET_POLL_SECONDS)
+                continue
+            now = http.read_clock()
+            candidates = ticket.select_vms(self.pool.vms.values(), now)
+            opinion = await self.deps.advice.ask(
+                step, candidates, timeout=TICKET_TIMEOUT_SECONDS
+            )
+            self.pool.tickets.on_opinion(step, opinion, now)
+            self._log_event(
+                "tickets requested",
+                job=step.job,
+                step=step[1:],
+                named=len(candidates),
+                got=None if opinion.tickets is None else len(opinion.tickets),
+                reason=opinion.reason,
+            )
+            self._wake()
+
+    async def _wait_until_committed(self, machine: vm.Vm) -> None:
+        """Wait for the commit of processed ends, but not beyond the next renewal."""
+        with anyio.move_on_after(COMMIT_WAIT_SECONDS):
+            while machine.committed_end < machine.processed_end:
+                self._wake_commit.set()
+                await self._committed.wait()
+
+    # -- commits
+
+    async def _run_commits(self) -> None:
+        while True:
+            await self._wake_commit.wait()
+            self._wake_commit = anyio.Event()
+            if not await self._commit_once():
+                await anyio.sleep(RETRY_SECONDS)
+                self._wake_commit.set()
+            elif self.pool.ledger.has_work:
+                self._wake_commit.set()
+
+    async def _commit_once(self) -> bool:
+        batch = self.pool.ledger.collect(self.pool.jobs, self.pool.vms)
+        if not batch.transaction.writes:
+            self._record_commit(batch.processed_ends)
+            return True
+        change = await self.deps.store.commit(
+            batch.transaction, timeout=COMMIT_TIMEOUT_SECONDS
+        )
+        answered = change.outcome is table.Outcome.DONE
+        self._is_store_quick = (
+            answered and change.received - change.sent < QUICK_COMMIT_SECONDS
+        )
+        result = self.pool.ledger.on_result(batch, change)
+        if result.deposed:
+            self._log_event(
+                "deposed: owner row has a newer claim", fence=self.pool.fence
+            )
+            self.pool.deposed = True
+            self._wake()
+        conflict = change.reason == "conflict"
+        self._commits.note(result.done or conflict, change.reason, pool=self.owner.pool)
+        if conflict:
+            found_versions = {row.key: row.version for row in change.conflicts}
+            self._log_event(
+                "commit of ends conflicts", fence=self.pool.fence, found=found_versions
+            )
+        if not result.done:
+            self.pool.on_finals_durable(result.durable_finals)
+            return conflict
+        for id in batch.vms:
+            if id in self.pool.vms:
+                self.pool.vms[id].recorded = True
+        self.pool.on_finals_durable(batch.final_jobs)
+        self._record_commit(batch.processed_ends)
+        if batch.vms or batch.final_jobs:
+            self._wake()
+        return True
+
+    def _record_commit(self, processed_ends: dict[str, int]) -> None:
+        for id, number in processed_ends.items():
+            machine = self.pool.vms.get(id)
+            if machine is not None:
+                machine.committed_end = max(machine.committed_end, number)
+        self._committed.set()
+        self._committed = anyio.Event()
+
+    async def _compact_rows(self) -> None:
+        """Compact and remove rows of final jobs while the store is quick."""
+        while True:
+            await anyio.sleep(COMPACTION_PERIOD_SECONDS)
+            if not self.deps.may_order() or not self._is_store_quick:
+                continue
+            store_time = self.deps.get_store_time()
+            work = self.pool.compactor.collect(store_time, self.deps.final_retention)
+            if work is None:
+                continue
+            change = await self.deps.store.commit(
+                work.transaction, timeout=COMMIT_TIMEOUT_SECONDS
+            )
+            self.pool.ledger.drop_progress(self.pool.compactor.on_result(work, change))
+
+    async def _publish_status(self) -> None:
+        published = None
+        while True:
+            status = self.planner.build_status(http.read_clock(), time.time())
+            if status != published and self.deps.may_order():
+                owner = leader_record.expect_owner(self.owner.pool, self.owner.version)
+                write = rows.Write(
+                    pool_record.STATUS_TABLE,
+                    self.owner.pool,
+                    pool_record.STATUS_TABLE,
+                    pool_record.write_status(status),
+                )
+                change = await self.deps.store.commit(
+                    rows.Transaction((owner,), (write,)), timeout=COMMIT_TIMEOUT_SECONDS
+                )
+                if change.outcome is table.Outcome.DONE:
+                    published = status
+            self._wake_status = anyio.Event()
+            await anyio.sleep(MIN_STATUS_INTERVAL_SECONDS)
+            with anyio.move_on_after(STATUS_PERIOD_SECONDS):
+                await self._wake_status.wait()
+
+    # -- helpers
+
+    def _wake(self) -> None:
+        self._wake_round.set()
+        if self.pool.ledger.has_work:
+            self._wake_commit.set()
+
+    def _log_event(self, event: str, **fields: object) -> None:
+        log.log_change(event, pool=self.owner.pool, **fields)
--- /dev/null
+++ b/wigeonhitch/pool/status.py
@@ -0,0 +1,87 @@
+"""Status of a pool that its leader publishes to other daemons."""
+
+from wigeonhitch.jobs import model
+from wigeonhitch.pool import demand, record, view, vm
+
+__all__ = ["build_status", "list_empty_vms"]
+
+STATUS_STEP_MILLICORES = 4000
+"""Millicores to which published figures are rounded down: an eighth of a VM."""
+
+
+def build_status(
+    pool: view.PoolView, unmet: int, demanded: demand.Demand
+) -> record.PoolStatus:
+    """Return the status to publish; ``unmet`` is in millicores."""
+    idle = sum(
+        machine.compute_free_room().cpu
+        for machine in pool.vms.values()
+        if machine.listed and not machine.closed and not machine.entry.leaving
+    )
+    empty = tuple(sorted(machine.id for machine in list_empty_vms(pool)))
+    light = [machine for machine in pool.vms.values() if _is_light(machine)]
+    # Figures are rounded, so that the row isn't rewritten for each small change.
+    return record.PoolStatus(
+        _count_waiting(pool),
+        _round_down(unmet),
+        _round_down(idle),
+        empty,
+        tuple(machine.id for machine in sorted(light, key=_rank_by_runs)),
+        tuple(sorted(machine.id for machine in light if not machine.runs)),
+        _round_down(demanded.peak),
+        _round_down(demanded.minimum),
+        _round_down(compute_batch_capacity(pool)),
+        _round_down(demanded.arriving),
+        pool.closings_version if empty else 0,
+    )
+
+
+def compute_batch_capacity(pool: view.PoolView) -> int:
+    """Return the millicores that the open VMs have for batch work."""
+    room = 0
+    for machine in pool.vms.values():
+        if machine.listed and not machine.closed and not machine.entry.leaving:
+            lasting = (run for run in machine.runs.values() if run.step.lasting)
+            room += machine.entry.room.cpu - sum(run.room.cpu for run in lasting)
+    return room
+
+
+def _rank_by_runs(machine: vm.Vm) -> tuple[int, str]:
+    return (len(machine.runs), machine.id)
+
+
+def _round_down(millicores: int) -> int:
+    return millicores - millicores % STATUS_STEP_MILLICORES
+
+
+def list_empty_vms(pool: view.PoolView) -> list[vm.Vm]:
+    """Return the closed VMs that are known to run nothing any more."""
+    return [
+        machine
+        for machine in pool.vms.values()
+        if machine.closed
+        and machine.reconciled
+        and not (machine.runs or machine.orphans)
+    ]
+
+
+def _count_waiting(pool: view.PoolView) -> dict[str, int]:
+    """Return the number of jobs without a started task, by queue."""
+    waiting: dict[str, int] = {}
+    for state in pool.jobs.values():
+        if state.state is model.JobState.QUEUED and not state.job.times:
+            queue = state.job.queue
+            waiting[queue] = waiting.get(queue, 0) + 1
+    return waiting
+
+
+def _is_light(machine: vm.Vm) -> bool:
+    """Return whether a VM is open and runs no lasting tasks."""
+    if (
+        not machine.listed
+        or not machine.answered
+        or machine.closed
+        or machine.entry.leaving
+    ):
+        return False
+    return not any(run.step.lasting for run in machine.runs.values())
--- /dev/null
+++ b/wigeonhitch/pool/tests/test_dispatcher.py
@@ -0,0 +1,96 @@
+"""Leases that a leader reports to its successor, and orders of a deposed leader."""
+
+import pytest
+
+from wigeonhitch.platform import http, workers
+from wigeonhitch.pool import core, dependencies, dispatcher, view, vm
+from wigeonhitch.telemetry import metric
+
+GRACE = 0.2
+
+
+@pytest.fixture
+def clock(monkeypatch):
+    """Control this daemon's time, which begins at 100 s."""
+
+    class Clock:
+        now = 100.0
+
+    monkeypatch.setattr(http, "read_clock", lambda: Clock.now)
+    return Clock
+
+
+@pytest.fixture
+def make_dispatcher(clock):
+    """Make the dispatcher of a leader that takes over now."""
+
+    def make(earlier_lease):
+        times = view.TimeBounds(earlier_lease, GRACE)
+        pool = core.Pool("p", 10, 2, times, clock.now, lambda event, **fields: None)
+        return dispatcher.Dispatcher(pool, None, list, lambda: None, None)
+
+    return make
+
+
+def test_reported_lease_includes_that_of_the_earlier_leader(make_dispatcher, clock):
+    """Guards against two concurrent runs of a task after two hand-overs.
+
+    The first leader granted 6.5 s during a store outage and gave the pool up. The
+    second gave it up 0.3 s later and reported only its own 3.8 s, so that the third
+    restarted the tasks of an unreachable VM while they ran on for 2 s.
+    """
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
+    clock.now += 0.3
+
+    assert sender.compute_max_granted_lease() >= dispatcher.OUTAGE_LEASE - 0.3
+
+
+def test_earlier_lease_is_counted_by_the_slowest_clock(make_dispatcher, clock):
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
+    clock.now += 2.0
+
+    passed = 2.0 * (1 - vm.MAX_CLOCK_DRIFT)
+    assert sender.compute_max_granted_lease() == pytest.approx(
+        dispatcher.OUTAGE_LEASE - passed
+    )
+
+
+def test_expired_earlier_lease_is_not_reported(make_dispatcher, clock):
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
+    clock.now += dispatcher.OUTAGE_LEASE
+
+    assert sender.compute_max_granted_lease() == dispatcher.WORKER_LEASE
+
+
+class Calls:
+    """Counts the starts that are sent."""
+
+    def __init__(self):
+        self.starts = 0
+
+    async def start(self, address, worker, order, *, timeout):
+        self.starts += 1
+        return workers.OrderReply(workers.Verdict.DONE)
+
+
+@pytest.mark.anyio
+async def test_deposed_leader_sends_no_start(bench):
+    """Guards against two concurrent runs of a task.
+
+    A worker reported a higher fencing token just after a start had been planned. The
+    start was still sent to another VM, which didn't know the successor yet, as only
+    the lease and the term were checked before sending.
+    """
+    calls = Calls()
+    deps = dependencies.Dependencies(
+        None, calls, None, metric.Instruments(), lambda: True, None, None, 60.0, None
+    )
+    sender = dispatcher.Dispatcher(bench.pool, deps, list, lambda: None, None)
+    bench.add_vm()
+    bench.add_job()
+    (start,) = bench.plan()
+    bench.pool.deposed = True
+
+    await sender.send_start(start)
+
+    assert calls.starts == 0
--- /dev/null
+++ b/wigeonhitch/pool/view.py
@@ -0,0 +1,410 @@
+"""The leader's view of its pool's jobs and VMs, from stored rows and elapsed time."""
+
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+
+from wigeonhitch.jobs import model, progress, record
+from wigeonhitch.platform import entries
+from wigeonhitch.pool import compaction, ledger, priority, ticket, vm
+
+__all__ = ["PoolView", "TimeBounds", "describe_run"]
+
+RUN_NUMBERS_PER_LEADER = 1 << 20
+"""Size of a leader's range of run numbers for each task; the ranges of successive
+leaders don't overlap."""
+
+LAPSE_MARGIN = 0.25
+"""Seconds added to a lease's end, clock drift and stop time: times in answers are
+rounded to milliseconds, and a worker's timer may fire late."""
+
+
+class TimeBounds(NamedTuple):
+    """Time bounds of earlier leaders and of workers, in seconds.
+
+    ``longest_lease`` is the longest lease that any leader grants, ``stop_grace`` the
+    time that a worker takes to end a task. With ``leaders_overlap`` an earlier
+    leader may still give orders after this one's claim, until each worker has seen
+    the new fencing token. ``move_seconds`` is the time that a VM takes to join from
+    another pool.
+    """
+
+    longest_lease: float
+    stop_grace: float
+    leaders_overlap: bool = False
+    move_seconds: float = 1.5
+
+
+class PoolView:
+    """One leader's view of its pool; `core.Pool` adds the answers of workers.
+
+    Parameters
+    ----------
+    name : str
+        The pool.
+    fence : int
+        Version of the owner row: the fencing token; rows with a lower version were
+        written before the takeover.
+    epoch : int
+        Number of this leader among the pool's leaders, from 1.
+    times : TimeBounds
+        Bounds of leases and of the time to stop a task.
+    now : float
+        This daemon's time at the takeover.
+    log_event : callable
+        Writes a log line; takes the text and the fields.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        fence: int,
+        epoch: int,
+        times: TimeBounds,
+        now: float,
+        log_event: Callable[..., None],
+    ) -> None:
+        self.name = name
+        self.fence = fence
+        self.times = times
+        self.log_event = log_event
+        self.jobs: dict[str, progress.Progress] = {}
+        self.queues: dict[str, model.Queue] = {}
+        self.vms: dict[str, vm.Vm] = {}
+        self.live: dict[model.Task, vm.Run] = {}
+        self.ledger = ledger.Ledger(name, fence)
+        self.compactor = compaction.Compactor(name)
+        self.job_locations: dict[str, compaction.RowLocation] = {}
+        """Locations of the rows of open jobs."""
+        self.deposed = False
+        self.unresolved: set[str] = set()
+        """VMs that an earlier leader may have used and that aren't reconciled yet."""
+        self.changed_jobs: set[str] = set()
+        """Jobs whose open tasks must be recomputed."""
+        self.submitted_work: list[float] = []
+        """Core-seconds of each job accepted under this leader and not yet counted as an
+        arrival."""
+        self.must_scan = True
+        """Whether the last changes may require runs to be stopped."""
+        self.not_before: dict[model.Task, float] = {}
+        self.failed_on: dict[model.Task, str] = {}
+        self.tickets = ticket.Tickets()
+        self.relocated: set[model.Task] = set()
+        """Tasks that were restarted on another VM because their VM was degraded."""
+        self.wall_time = 0.0
+        """Unix time of the last round, for the ages of jobs in the log."""
+        self.closings_version = 0
+        """The store's version up to which the closed VMs are known."""
+        self._closed_workers: frozenset[str] = frozenset()
+        self._ended_workers: frozenset[str] = frozenset()
+        self._takeover_time = now
+        self.run_number_base = (epoch - 1) * RUN_NUMBERS_PER_LEADER
+        self.run_numbers: dict[model.Task, int] = {}
+        self._mean_work: dict[str, tuple[float, int]] = {}
+
+    # -- rows
+
+    def on_job(
+        self,
+        id: str,
+        row: record.JobRecord,
+        version: int,
+        location: compaction.RowLocation,
+    ) -> None:
+        """Apply a job row: a new job, a cancellation, or a final state."""
+        if row.job is None:
+            self.compactor.on_final_row(id, location, version, row.finished)
+            return
+        job_state = self.jobs.get(id)
+        if job_state is None and self.compactor.is_final(id, version):
+            return  # the row is an older copy, from a read that began earlier
+        if job_state is None:
+            job_state = progress.Progress(row.job, version, row.accepted)
+            self.job_locations[id] = location
+            self.jobs[id] = job_state
+            self._update_mean_work(row.job)
+            if version > self.fence and not (row.job.is_lasting or row.job.times):
+                self.submitted_work.append(row.job.compute_work())
+        if version < job_state.version:
+            return
+        job_state.version = version
+        if row.cancelled and not job_state.cancelled:
+            job_state.cancelled = True
+            self.must_scan = True
+            self.log_event("job cancelled", job=id, version=version)
+            if job_state.final is None:
+                self.ledger.mark_dirty(id)
+        self.changed_jobs.add(id)
+
+    def on_progress(self, id: str, value: bytes, version: int) -> None:
+        """Apply a progress row; at the takeover they are read after all jobs.
+
+        The row of a job that isn't open is a leftover of an earlier leader and is
+        removed.
+        """
+        state = self.jobs.get(id)
+        self.ledger.versions[id] = version
+        if state is None:
+            self.ledger.drop_progress([id])
+            return
+        record.read_progress(state, value)
+        self.changed_jobs.add(id)
+        if state.final is not None:
+            self.on_finals_durable([id])
+
+    def on_queues(self, queues: Iterable[model.Queue]) -> None:
+        """Apply the queues of the configuration in force."""
+        self.queues = {queue.name: queue for queue in queues}
+        self.changed_jobs.update(self.jobs)
+
+    def on_worker(self, entry: entries.WorkerEntry, now: float) -> None:
+        """Apply a worker's entry; workers of other pools are ignored."""
+        machine = self.vms.get(entry.id)
+        if entry.id in self._ended_workers:
+            return  # its entry in the store expires by itself
+        if entry.pool != self.name:
+            if machine is not None:
+                machine.listed = False
+            return
+        if machine is None:
+            self.vms[entry.id] = vm.Vm(entry, now)
+            self.vms[entry.id].closed = entry.id in self._closed_workers
+            self.ledger.add_vm(entry.id, entry.address)
+            self.log_event("VM joined", vm=entry.id, rack=self.vms[entry.id].rack)
+            return
+        if entry.leaving and not machine.entry.leaving:
+            self.must_scan = True
+            self.log_event("VM leaving", vm=entry.id, remaining=entry.remaining)
+        machine.entry = entry
+        machine.listed = True
+        if entry.clock is not None:
+            machine.update_clock(entry.clock, now)
+
+    def set_closed(
+        self, ids: frozenset[str], ended: frozenset[str], version: int = 0
+    ) -> None:
+        """Set the workers that are to be vacated and those that have ended.
+
+        All others are open. A set with an older store version than the last one is
+        ignored: it would reopen VMs that are already published as empty.
+        """
+        if version < self.closings_version:
+            return
+        self.closings_version = version
+        self._closed_workers, self._ended_workers = ids, ended
+        self.must_scan = True
+        for id in ended & self.vms.keys():
+            self.drop_vm(self.vms[id], "ended by a move or maintenance")
+        for machine in self.vms.values():
+            if machine.closed != (machine.id in ids):
+                machine.closed = not machine.closed
+                self.log_event(
+                    "VM closed" if machine.closed else "VM open", vm=machine.id
+                )
+
+    def on_worker_removed(self, id: str) -> None:
+        """Record that a worker's entry was removed; its runs may go on."""
+        machine = self.vms.get(id)
+        if machine is not None and machine.listed:
+            machine.listed = False
+            self.log_event("VM entry removed", vm=id, runs=len(machine.runs))
+
+    def on_roster(self, id: str, address: str, version: int, now: float) -> None:
+        """Apply a roster row at the takeover: the VM may run tasks."""
+        self.unresolved.add(id)
+        self.ledger.on_roster_row(id, version)
+        if id in self.vms:
+            self.vms[id].recorded = True
+            return
+        entry = entries.WorkerEntry(id, self.name, address, "", False, model.Room(), ())
+        machine = vm.Vm(entry, now)
+        machine.listed = False
+        machine.recorded = True
+        self.vms[id] = machine
+
+    # -- time
+
+    def expire_leases(self, now: float) -> None:
+        """Drop the runs and VMs whose leases have certainly expired."""
+        seconds_waited = now - self._takeover_time
+        longest = self.times.longest_lease * (1 + vm.MAX_CLOCK_DRIFT)
+        grace = self.times.stop_grace + LAPSE_MARGIN
+        for machine in list(self.vms.values()):
+            # A VM that never answered may still have received a renewal of ours.
+            lapsed = machine.is_lapsed(now, grace)
+            if not machine.answered:
+                lapsed = lapsed and seconds_waited > longest + grace
+            if lapsed and (machine.runs or machine.orphans):
+                self._remove_lapsed_runs(machine)
+            if lapsed and machine.id in self.unresolved:
+                self.unresolved.discard(machine.id)
+                self.log_event(
+                    "VM waited out",
+                    vm=machine.id,
+                    waited=round(seconds_waited, 2),
+                )
+            if lapsed and not machine.listed:
+                self.drop_vm(machine, "entry removed and leases lapsed")
+
+    # -- questions
+
+    def compute_remaining_earlier_lease(self, now: float) -> float:
+        """Return the most that may remain of an earlier leader's longest lease.
+
+        It is counted by the slowest worker clock.
+        """
+        passed = (now - self._takeover_time) * (1 - vm.MAX_CLOCK_DRIFT)
+        return max(0.0, self.times.longest_lease - passed)
+
+    def may_have_run(self, state: progress.Progress) -> bool:
+        """Return whether an earlier leader may have started tasks of the job."""
+        is_older = state.version < self.fence or self.times.leaders_overlap
+        return bool(self.unresolved) and is_older
+
+    def list_orphaned_tasks(self) -> frozenset[model.Task]:
+        """Return the tasks of which a VM lists an orphaned run.
+
+        Such a run goes on until its end is listed, its VM's leases lapse or its VM is
+        gone.
+        """
+        return frozenset(
+            task for machine in self.vms.values() for task, _ in machine.orphans
+        )
+
+    def next_run_number(self, task: model.Task) -> int:
+        """Return the number of the task's next run, higher than all earlier ones."""
+        number = max(self.run_numbers.get(task, 0), self.run_number_base) + 1
+        self.run_numbers[task] = number
+        return number
+
+    def next_gang_run_number(self, tasks: list[model.Task]) -> int:
+        """Return one number for the next runs of all members of a gang."""
+        number = max(self.next_run_number(task) for task in tasks)
+        self.run_numbers.update(dict.fromkeys(tasks, number))
+        return number
+
+    def on_finals_durable(self, ids: Iterable[str]) -> None:
+        """Record that the final states of jobs are durable."""
+        for id in ids:
+            state = self.jobs.get(id)
+            if state is not None and state.final is not None:
+                state.is_final_durable = True
+                self.changed_jobs.add(id)
+                self._schedule_compaction(id, state, state.final)
+
+    def _schedule_compaction(
+        self, id: str, state: progress.Progress, recorded: model.JobState
+    ) -> None:
+        """Hand the rows of a final job to the compactor."""
+        recorded_at = self.ledger.versions.get(id, 0)
+        cancelled_at = state.version if state.cancelled else 0
+        final = progress.resolve_final_state(recorded, recorded_at, cancelled_at)
+        self.compactor.add(
+            id, self.job_locations[id], final, state.version, recorded_at
+        )
+
+    def record_degraded_run(self, run: vm.Run, reason: str, now: float) -> None:
+        """Record that a run is stuck or slow; its VM may be quarantined for it."""
+        if run.is_sick:
+            return
+        run.is_sick = True
+        self.log_event(
+            "run degraded", reason=reason, work=run.work, **describe_run(run)
+        )
+        if run.vm.record_degraded_run(now):
+            until = round(run.vm.quarantined_until, 2)
+            self.log_event("VM set aside", vm=run.vm.id, until=until, reason=reason)
+
+    def get_mean_work(self, queue: str) -> float:
+        """Return the mean core-seconds of the queue's jobs seen so far."""
+        total, count = self._mean_work.get(queue, (0.0, 0))
+        return total / count if count else 0.0
+
+    def count_unavailable(self, job: str, step: int) -> int:
+        """Return how many tasks of a lasting step are unavailable."""
+        state = self.jobs[job]
+        at_work = 0
+        for index in range(state.job.steps[step].count):
+            run = self.live.get(model.Task(job, 0, step, index))
+            if run is not None and run.is_at_work:
+                at_work += 1
+        return state.job.steps[step].count - at_work
+
+    def is_wanted(self, run: vm.Run) -> bool:
+        """Return whether the run's task still has to be run."""
+        state = self.jobs.get(run.task.job)
+        if state is None or state.cancelled or state.final is not None:
+            return False
+        return not state.is_done(run.task)
+
+    def get_sort_inputs(self, state: progress.Progress) -> priority.SortInputs:
+        """Return the inputs of a job's sort key.
+
+        If its queue was removed, the terms of its submission are used.
+        """
+        queue = self.queues.get(state.job.queue)
+        return priority.compute_sort_inputs(state, queue or state.job.terms)
+
+    def needs_ticket(self, state: progress.Progress) -> bool:
+        """Return whether the job's tasks need a ticket of the advice service."""
+        queue = self.queues.get(state.job.queue)
+        return state.job.is_advised if queue is None else queue.advice is not None
+
+    def get_max_attempts(self, state: progress.Progress) -> int:
+        """Return the number of failed runs after which a task isn't retried."""
+        queue = self.queues.get(state.job.queue)
+        return queue.max_attempts if queue else state.job.attempts
+
+    def drop_vm(self, machine: vm.Vm, reason: str) -> None:
+        """Remove a VM that has ended, and with it all its runs."""
+        if machine.gone:
+            return
+        machine.gone = True
+        self.unresolved.discard(machine.id)
+        self.log_event("VM gone", vm=machine.id, runs=len(machine.runs), reason=reason)
+        for run in list(machine.runs.values()):
+            self.remove_run(run)
+        self.ledger.remove_vm(machine.id)
+        self.vms.pop(machine.id, None)
+
+    # -- internals
+
+    def _remove_lapsed_runs(self, machine: vm.Vm) -> None:
+        self.log_event("leases lapsed", vm=machine.id, runs=len(machine.runs))
+        for run in list(machine.runs.values()):
+            self.remove_run(run)
+        machine.orphans.clear()
+
+    def remove_run(self, run: vm.Run) -> None:
+        """Take a run for ended; its task may start again."""
+        run.vm.runs.pop(run.task, None)
+        if self.live.get(run.task) is run:
+            del self.live[run.task]
+        self.changed_jobs.add(run.task.job)
+
+    def _update_mean_work(self, job: model.Job) -> None:
+        total, count = self._mean_work.get(job.queue, (0.0, 0))
+        self._mean_work[job.queue] = (total + job.compute_work(), count + 1)
+
+    def forget_job(self, id: str) -> None:
+        """Drop a job that is final and has no runs left."""
+        state = self.jobs.pop(id, None)
+        self.job_locations.pop(id, None)
+        self.changed_jobs.discard(id)
+        if state is None:
+            return
+        self.tickets.forget_job(id)
+        self.relocated = {task for task in self.relocated if task.job != id}
+        for table in (self.run_numbers, self.not_before, self.failed_on):
+            for task in [task for task in table if task.job == id]:
+                del table[task]
+
+
+def describe_run(run: vm.Run) -> dict[str, object]:
+    """Return the log fields that identify a run."""
+    return {
+        "job": run.task.job,
+        "task": run.task[1:],
+        "run": run.number,
+        "vm": run.vm.id,
+        "state": run.state.value,
+    }
