--- a/wigeonhitch/placement/job.py
+++ b/wigeonhitch/placement/job.py
@@ -241,13 +241,13 @@
     >>> decode(encode(make_job(asked, 5.0))) == make_job(asked, 5.0)
     True
     """
-    known = {field: value[field] for field in Job._fields if field in value}
-    asked = known["asked"]
+    row_fields = {field: value[field] for field in Job._fields if field in value}
+    asked = row_fields["asked"]
     fields = {name: asked[name] for name in Submission._fields if name in asked}
-    known["asked"] = Submission(**fields)
-    known["state"] = JobState(known["state"])
-    known["failed_on"] = tuple(known.get("failed_on", ()))
-    return Job(**known)
+    row_fields["asked"] = Submission(**fields)
+    row_fields["state"] = JobState(row_fields["state"])
+    row_fields["failed_on"] = tuple(row_fields.get("failed_on", ()))
+    return Job(**row_fields)
 
 
 def split_task(task: str) -> tuple[str, int]:
--- a/wigeonhitch/placement/reconciliation.py
+++ b/wigeonhitch/placement/reconciliation.py
@@ -22,9 +22,7 @@
 # Usage above this share of the reserved cores means that more cores may help; below
 # 1, as usage reports lag.
 SATURATED_SHARE = 0.95
-BLOCKS_DRAIN_REASON = (
-    "its worker drains and is_blocking for it, as it must not run again"
-)
+BLOCKS_DRAIN_REASON = "its worker drains and waits for it, as it must not run again"
 # Progress from which the usage of a running task is representative. Without samples
 # of running tasks, a kind declared ten times too large would hold whole workers
 # until its first jobs end.
@@ -106,11 +104,11 @@
     asked = item.asked
     if policy is None:
         return ""
-    for label, name, known in (
+    for label, name, known_names in (
         ("pool", asked.pool, policy.kinds),
         ("team", asked.team, policy.teams),
     ):
-        if name not in known:
+        if name not in known_names:
             within_grace = now - item.submitted < POLICY_GRACE_SECONDS
             return "" if within_grace else f"no {label} {name!r} in the fleet document"
     if shard.estimator.is_confident(asked.sizing_key):
--- a/wigeonhitch/placement/runner.py
+++ b/wigeonhitch/placement/runner.py
@@ -68,7 +68,10 @@
         """Read signals while any duty is held."""
         leases = self._platform.leases
         while True:
-            if any(leases.current(each.duty) for each in controllers):
+            if any(
+                leases.current(shard_controller.duty)
+                for shard_controller in controllers
+            ):
                 for shard in await reader.read():
                     controllers[shard].wake()
             await anyio.sleep(POLL_SECONDS)
@@ -80,6 +83,6 @@
     """Wake the controllers; separate from reads, as the table may be slow or down."""
     while True:
         reader.clear_cache()
-        for each in controllers:
-            each.wake()
+        for shard_controller in controllers:
+            shard_controller.wake()
         await anyio.sleep(POLL_SECONDS)
--- a/wigeonhitch/placement/selection.py
+++ b/wigeonhitch/placement/selection.py
@@ -86,9 +86,9 @@
             candidate.vm == held and not urgent
         ):
             continue
-        left = candidate.cores - need[0] + (candidate.memory - need[1]) / 4
+        remaining = candidate.cores - need[0] + (candidate.memory - need[1]) / 4
         is_held = candidate.vm == held
-        preference = -left if urgent else left
+        preference = -remaining if urgent else remaining
         rank = (
             crowd.get(candidate.domain, 0),
             is_held,
@@ -141,7 +141,7 @@
 def find_slack(entry: attempt.Attempt, now: float) -> float:
     """Return how many seconds a running job may pause; negative when late."""
     progress = entry.seen.progress if entry.seen is not None else 0.0
-    left = entry.job.asked.duration * (1.0 - min(1.0, progress))
+    remaining = entry.job.asked.duration * (1.0 - min(1.0, progress))
     if now > entry.job.due:
         return -1.0
-    return max(0.0, entry.job.due - now - left)
+    return max(0.0, entry.job.due - now - remaining)
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -243,9 +243,9 @@
             self.policy.kinds.get(item.asked.pool),
             self.policy.teams.get(item.asked.team),
         ]
-        known = [size for size in sizes if size is not None]
-        cores = min((size.cores for size in known), default=math.inf)
-        return cores, min((size.memory for size in known), default=math.inf)
+        limits = [size for size in sizes if size is not None]
+        cores = min((size.cores for size in limits), default=math.inf)
+        return cores, min((size.memory for size in limits), default=math.inf)
 
     def failure_domain(self, vm: str) -> str:
         """Return the failure domain of a worker, as defined by its pool."""
--- a/wigeonhitch/placement/view.py
+++ b/wigeonhitch/placement/view.py
@@ -70,7 +70,7 @@
 
 
 def largest_size(vms: Iterable[Vm]) -> tuple[float, float]:
-    """Return the largest_size cores and memory of a VM; infinite without VMs."""
+    """Return the largest cores and memory of a VM; infinite without VMs."""
     sizes = [(vm.cores, vm.memory) for vm in vms]
     if not sizes:
         return math.inf, math.inf
