--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -33,8 +33,8 @@
 CALL_SECONDS = 10.0
 DUTIES = 12
 DAEMONS = 3
-SINGLE = batch.DEFAULT_LIMITS._replace(size=1)
-UNLIMITED = batch.Limits(rate=1e6, burst=1e6, size=1, inflight=1000)
+SINGLE = batch.DEFAULT_LIMITS._replace(batch_size=1)
+UNLIMITED = batch.Limits(rate=1e6, burst=1e6, batch_size=1, max_in_flight=1000)
 
 
 class Run(NamedTuple):
@@ -114,7 +114,7 @@
             elif action.kind is decision.Kind.GRANTED:
                 self.waits.append(now - self.asked_at[action.ticket])
                 self.push(now + WORK, "done", action.ticket)
-        wake = self.core.wake(now)
+        wake = self.core.next_wake(now)
         if wake is not None and (not self.events or wake < self.events[0][0]):
             self.push(max(wake, now + 1e-6), "wake")
 
@@ -246,14 +246,14 @@
 def step_duties(duties: duty.Duties, rows: platformtable.Store, now: float) -> None:
     """Let one daemon act on its duties, without delay or loss."""
     for action in duties.step(now):
-        if isinstance(action, duty.Look):
+        if isinstance(action, duty.FullRead):
             looks = [rows.scan(name, action.since) for name in ("daemon/", "duty/")]
-            duties.on_look(*(make_result(rows, one, now) for one in looks), now)
+            duties.on_full_read(*(make_result(rows, one, now) for one in looks), now)
             continue
-        if isinstance(action, duty.Glance):
+        if isinstance(action, duty.HolderRead):
             holders = rows.read([f"daemon/{name}" for name in action.holders])
             looks = [holders, rows.scan("duty/", action.since)]
-            duties.on_glance(*(make_result(rows, one, now) for one in looks), now)
+            duties.on_holder_read(*(make_result(rows, one, now) for one in looks), now)
             continue
         conflicts = rows.commit(action.conditions, action.writes, "t", now)
         outcome = table.Outcome.NOT_DONE if conflicts else table.Outcome.DONE
--- a/benchmarks/slope.py
+++ b/benchmarks/slope.py
@@ -48,7 +48,7 @@
         ]
         self.by_name = {one.me.daemon: one for one in self.members}
         for one in self.members:
-            one.learn_rows(peers, 0.0)
+            one.update_members(peers, 0.0)
         self.size = 0
         self.sent = 0
         self.spent = 0.0
@@ -69,7 +69,7 @@
         began = time.process_time()
         frame = codec.encode(REGISTRY, sender.me.daemon, action.heartbeat)
         received = codec.decode(REGISTRY, frame[codec.HEADER_SIZE :])
-        self.by_name[action.peer.daemon].hear(received.message, now)
+        self.by_name[action.peer.daemon].receive_heartbeat(received.message, now)
         self.spent += time.process_time() - began
         self.size += len(frame)
         self.sent += 1
@@ -145,7 +145,7 @@
 def measure_duties(count: int, look: float) -> dict[str, float]:
     """Return what one daemon reads and spends for all duties a second."""
     rows = Reader()
-    limits = duty.Limits(look=look)
+    limits = duty.Limits(read_interval_per_daemon=look)
     daemons = [duty.Duties(f"entry-{number:03}-a", limits) for number in range(count)]
     for one in daemons:
         for name in DUTIES:
@@ -171,7 +171,7 @@
 def measure_claims(daemons: int, rate: float) -> tuple[platform.Run, float]:
     """Return one daemon's claims at its share, and its table writes a second."""
     bench = platform.Bench(platform.batch.DEFAULT_LIMITS, 0.002, 1)
-    bench.core.budget.share(daemons)
+    bench.core.budget.set_daemon_count(daemons)
     done = bench.run(rate)
     return done, done.writes / platform.SECONDS
 
@@ -210,7 +210,7 @@
     for count in SIZES:
         for name, label, look in (
             ("whole", "all each look", 0.0),
-            ("looks", "holders", duty.DEFAULT_LIMITS.look),
+            ("looks", "holders", duty.DEFAULT_LIMITS.read_interval_per_daemon),
         ):
             cost = found[name][count] = measure_duties(count, look)
             print(f"{count:>8}{label:>16}{cost['bytes']:>8.0f}", end="")
--- a/examples/library/reporter.py
+++ b/examples/library/reporter.py
@@ -27,7 +27,7 @@
 
 # Seconds. Real programs keep the defaults of `duty.Limits`; these are short so
 # that the example ends soon.
-LIMITS = duty.Limits(lease=0.6, margin=0.1, rank_delay=0.02, gap=0.02)
+LIMITS = duty.Limits(lease=0.6, margin=0.1, rank_delay=0.02, min_renewal_interval=0.02)
 CLAIM_TIMEOUT = 2.0
 TICK = 0.01
 PATIENCE = 10.0
@@ -94,7 +94,10 @@
         if acquired.kind is decision.Kind.REPLAYED:
             return Sent.BEFORE
         if acquired.claim is None:
-            is_retriable = acquired.told is not None and acquired.told.is_retriable
+            is_retriable = (
+                acquired.caller_verdict is not None
+                and acquired.caller_verdict.is_retriable
+            )
             return Sent.NOT_SENT if is_retriable else Sent.UNKNOWN
         # Asked right before the step that can't be taken back: the process may
         # have been paused since the claim.
--- a/standins/platformclaimant.py
+++ b/standins/platformclaimant.py
@@ -41,9 +41,14 @@
                 await self._use(key, got.claim)
             elif got.answer is not None:
                 print("replayed", key, got.answer.body.decode(), flush=True)
-            elif got.told is not None:
-                print("told", got.told.ran.value, got.told.reason.value, flush=True)
-                refused = got.told.ran is verdict.Ran.NO
+            elif got.caller_verdict is not None:
+                print(
+                    "told",
+                    got.caller_verdict.ran.value,
+                    got.caller_verdict.reason.value,
+                    flush=True,
+                )
+                refused = got.caller_verdict.ran is verdict.Ran.NO
                 await anyio.sleep(0.1 if refused else 0.01)
 
     async def _use(self, key: str, claim: store.Claim) -> None:
--- a/wigeonhitch/daemon/assembly.py
+++ b/wigeonhitch/daemon/assembly.py
@@ -70,7 +70,7 @@
         seeds = [
             core.Peer(one.name, one.address, "", "") for one in settings.peers.seeds
         ]
-        members.learn_seeds(seeds, self.clock())
+        members.add_seeds(seeds, self.clock())
         self.holder = holder.Holder(
             self.table, settings.daemon.name, fields=self._describe, clock=self.clock
         )
@@ -262,7 +262,7 @@
         log.log_change("stopped", held=self.dispatch.held)
 
     def _hear_store(self, asked: float) -> None:
-        self.membership.hear_store(asked)
+        self.membership.record_store_answer(asked)
 
     def _describe(self) -> dict[str, Any]:
         drains = self.workers.describe()
@@ -295,7 +295,7 @@
 
     def _change_members(self, alive: frozenset[str]) -> None:
         self.dispatch.apply(event.MembersChanged(alive))
-        self.claims.share(len(alive))
+        self.claims.set_daemon_count(len(alive))
         self.watcher.set_peers(tuple(sorted(alive - {self.me.daemon})))
 
     def _change_send_right(self, held: bool) -> None:
--- a/wigeonhitch/daemon/exchange.py
+++ b/wigeonhitch/daemon/exchange.py
@@ -33,7 +33,7 @@
 
     async def send(self, peer: str, data: bytes) -> None:
         """Send to one peer; a failure is not reported."""
-        self._membership.tell(peer, message.Configuration(data), "configuration")
+        self._membership.send(peer, message.Configuration(data), "configuration")
 
 
 class Exchange:
@@ -62,11 +62,11 @@
     def tell(self, told: action.Tell, traces: tuple[str, ...]) -> None:
         """Send slot messages, with the contexts of the traced requests."""
         packed = slots.pack(told.messages, traces)
-        self._membership.tell(told.daemon, packed, "slots")
+        self._membership.send(told.daemon, packed, "slots")
 
     def receive(self, received: codec.Received) -> None:
         """Give a peer's message to the slice that it is for."""
-        if self._membership.hear(received):
+        if self._membership.handle_message(received):
             return
         if isinstance(received.message, slots.Slots):
             self._receive_slots(received.sender, received.message)
--- a/wigeonhitch/daemon/following.py
+++ b/wigeonhitch/daemon/following.py
@@ -58,7 +58,7 @@
             await self._workers.read(self._clock())
             now = self._workers.describe()
             if now != before:
-                self._holder.hurry()
+                self._holder.renew_soon()
             await self._outlet.forget(self._workers.addresses)
             with anyio.move_on_after(DRAIN_PERIOD if now.busy else FLEET_PERIOD):
                 await self._moved.wait()
--- a/wigeonhitch/fleet/wave.py
+++ b/wigeonhitch/fleet/wave.py
@@ -217,7 +217,7 @@
         return None, "drain: daemons' rows not read since it began"
     if unconfirmed:
         reasons = (
-            f"daemon {waiting.daemon} {waiting.why.value}" for waiting in unconfirmed
+            f"daemon {waiting.daemon} {waiting.reason.value}" for waiting in unconfirmed
         )
         return None, f"drain: {', '.join(reasons)}"
     if observation.as_of < row.since:
@@ -227,7 +227,7 @@
 
 def find_unconfirmed(
     snapshot: Snapshot, row: state.VmRow
-) -> tuple[confirmation.Waiting, ...]:
+) -> tuple[confirmation.BlockingDaemon, ...]:
     """Return the daemons that may still hold a request on a draining VM.
 
     An entry VM counts as gone if it is missing from a list that is newer than
--- a/wigeonhitch/front/guard.py
+++ b/wigeonhitch/front/guard.py
@@ -55,7 +55,7 @@
             )
             hop.span.set_attribute("claim", acquired.kind.value)
         if acquired.kind is not decision.Kind.GRANTED:
-            return dispatcher.Final(acquired.told, _to_reply(acquired.answer))
+            return dispatcher.Final(acquired.caller_verdict, _to_reply(acquired.answer))
         claim = acquired.claim
         try:
             final = await self._dispatch.serve(
--- a/wigeonhitch/idempotency/batch.py
+++ b/wigeonhitch/idempotency/batch.py
@@ -121,10 +121,10 @@
         """Return the writes of a batch whose result has come."""
         return self._inflight.pop(batch)
 
-    def wake(self, now: float) -> float | None:
+    def next_wake(self, now: float) -> float | None:
         """Return when `take` may have something, or None until an event."""
         free = self._find_free()
-        allowed = self.budget.wake(now, self.inflight)
+        allowed = self.budget.next_wake(now, self.inflight)
         if not free or allowed is None:
             return None
         return max(now, allowed, min(write.ready for write in free))
@@ -138,7 +138,7 @@
         """Take writes of different rows, none of them in flight already."""
         chosen: dict[str, Write] = {}
         for write in self._find_free():
-            if len(chosen) < self.budget.size:
+            if len(chosen) < self.budget.batch_size:
                 chosen.setdefault(write.row, write)
         taken = {id(write) for write in chosen.values()}
         self._waiting = [write for write in self._waiting if id(write) not in taken]
--- a/wigeonhitch/idempotency/budget.py
+++ b/wigeonhitch/idempotency/budget.py
@@ -24,24 +24,24 @@
         Table writes that may follow at once after a quiet time: a lone
         caller's claim and its end go out without a wait, also where the share
         is about one write a second.
-    size : int
+    batch_size : int
         Rows per table write; bounds what one conflict sends round again.
-    inflight : int
+    max_in_flight : int
         Table writes under way together; two hide one slow answer.
-    total : float
+    total_rate : float
         Table writes a second of all daemons together. With the 44 renewals a
         second of 220 daemons it leaves room for the fleet's and placement's.
-    largest : int
+    max_batch_size : int
         Rows per table write where the share is small: fewer writes must carry
         as many records.
     """
 
     rate: float = 25.0
     burst: float = 5.0
-    size: int = 64
-    inflight: int = 2
-    total: float = 300.0
-    largest: int = 256
+    batch_size: int = 64
+    max_in_flight: int = 2
+    total_rate: float = 300.0
+    max_batch_size: int = 256
 
 
 DEFAULT_LIMITS = Limits()
@@ -59,7 +59,7 @@
     ----------
     rate : float
         Table writes a second.
-    size : int
+    batch_size : int
         Rows per table write.
     """
 
@@ -68,9 +68,9 @@
         self._allowance = limits.burst
         self._counted_at: float | None = None
         self.rate = limits.rate
-        self.size = limits.size
+        self.batch_size = limits.batch_size
 
-    def share(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Divide the total among the daemons that live, this one included.
 
         A daemon that hears few others takes more than its share; the sum then
@@ -80,17 +80,17 @@
         Examples
         --------
         >>> budget = Budget()
-        >>> budget.share(9)
-        >>> budget.rate, budget.size
+        >>> budget.set_daemon_count(9)
+        >>> budget.rate, budget.batch_size
         (25.0, 64)
-        >>> budget.share(220)
-        >>> round(budget.rate, 2), budget.size
+        >>> budget.set_daemon_count(220)
+        >>> round(budget.rate, 2), budget.batch_size
         (1.36, 256)
         """
         limits = self._limits
-        self.rate = min(limits.rate, limits.total / max(1, daemons))
-        grown = math.ceil(limits.size * limits.rate / self.rate)
-        self.size = max(limits.size, min(limits.largest, grown))
+        self.rate = min(limits.rate, limits.total_rate / max(1, daemons))
+        grown = math.ceil(limits.batch_size * limits.rate / self.rate)
+        self.batch_size = max(limits.batch_size, min(limits.max_batch_size, grown))
 
     def refill(self, now: float) -> None:
         """Count what the time since the last call allows; seconds."""
@@ -101,15 +101,15 @@
 
     def has_room(self, inflight: int) -> bool:
         """Whether a table write may go out beside those in flight."""
-        return inflight < self._limits.inflight and self._allowance >= 1
+        return inflight < self._limits.max_in_flight and self._allowance >= 1
 
     def spend(self) -> None:
         """Count one table write."""
         self._allowance -= 1
 
-    def wake(self, now: float, inflight: int) -> float | None:
+    def next_wake(self, now: float, inflight: int) -> float | None:
         """Return when a table write may go out, or None until one has ended."""
-        if inflight >= self._limits.inflight:
+        if inflight >= self._limits.max_in_flight:
             return None
         missing = max(0.0, 1 - self._allowance)
         counted = self._counted_at if self._counted_at is not None else now
--- a/wigeonhitch/idempotency/core.py
+++ b/wigeonhitch/idempotency/core.py
@@ -1,7 +1,7 @@
 """Decide who may send a keyed request. No I/O, no clock.
 
 Events go in by methods, `Core.step` gives the actions that are due, and
-`Core.wake` the time of the next one. Times are seconds on the clock that
+`Core.next_wake` the time of the next one. Times are seconds on the clock that
 counts suspension.
 
 Made for keyed requests that must run at most once while the store loses
@@ -175,7 +175,7 @@
             actions.append(commit)
         return [*self._decisions.take(), *actions]
 
-    def wake(self, now: float) -> float | None:
+    def next_wake(self, now: float) -> float | None:
         """Return when `step` next has something to do without an event."""
         if self._decisions:
             return now
@@ -187,7 +187,7 @@
                 times.append(item.wait_until)
         if not self._is_reading:
             times.extend(self._find_read_times())
-        queued = self._queue.wake(now)
+        queued = self._queue.next_wake(now)
         if queued is not None and not self._health.needs_probe:
             times.append(queued)
         return max(now, min(times)) if times else None
@@ -210,7 +210,7 @@
             for item in self._entries.values()
             if item.phase is entry.Phase.WAITING
         ]
-        doubtful = self._doubts.wake()
+        doubtful = self._doubts.next_wake()
         if doubtful is not None:
             times.append(max(doubtful, self._health.blocked_until))
         if self._health.needs_probe:
--- a/wigeonhitch/idempotency/decision.py
+++ b/wigeonhitch/idempotency/decision.py
@@ -26,14 +26,14 @@
 class Decision(NamedTuple):
     """Action: answer a ticket.
 
-    ``kept`` holds the kept answer when replayed; ``told`` is what the caller is
-    told unless granted; a granted request may be sent until ``send_before``, in
-    seconds on the clock that counts suspension.
+    ``kept`` holds the kept answer when replayed; ``caller_verdict`` is returned to
+    the caller unless granted; a granted request may be sent until ``send_before``,
+    in seconds on the clock that counts suspension.
     """
 
     ticket: int
     kind: Kind
-    told: verdict.Verdict | None = None
+    caller_verdict: verdict.Verdict | None = None
     kept: record.Record | None = None
     send_before: float = 0.0
 
--- a/wigeonhitch/idempotency/doubt.py
+++ b/wigeonhitch/idempotency/doubt.py
@@ -89,7 +89,7 @@
                 rows.append(item.row)
         return rows
 
-    def wake(self) -> float | None:
+    def next_wake(self) -> float | None:
         """Return when `pick` next has something."""
         times = [item.next_at for item in self._doubts.values() if not item.is_writing]
         return min(times, default=None)
--- a/wigeonhitch/idempotency/store.py
+++ b/wigeonhitch/idempotency/store.py
@@ -59,12 +59,12 @@
     ----------
     kind : decision.Kind
         ``GRANTED``: send it, then settle ``claim`` exactly once.
-        ``REPLAYED``: give ``answer`` with the verdict ``told``. ``REFUSED``:
-        give the verdict ``told``.
+        ``REPLAYED``: give ``answer`` with the verdict ``caller_verdict``. ``REFUSED``:
+        give the verdict ``caller_verdict``.
     """
 
     kind: decision.Kind
-    told: verdict.Verdict | None = None
+    caller_verdict: verdict.Verdict | None = None
     claim: Claim | None = None
     answer: record.KeptAnswer | None = None
 
@@ -170,7 +170,7 @@
         """Mark the key: the request was sent and its fate is unknown."""
         self._settle(claim, record.State.UNKNOWN)
 
-    def share(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Take an equal share of all daemons' table writes.
 
         Parameters
@@ -225,7 +225,7 @@
         if (event := self._receive_nowait()) is not None:
             return event
         now = self._clock()
-        wake = self._core.wake(now)
+        wake = self._core.next_wake(now)
         pause = math.inf if wake is None else max(0.0, wake - now)
         with anyio.move_on_after(pause):
             return await self._inbox.receive()
@@ -252,7 +252,7 @@
         elif isinstance(event, message.Committed):
             self._core.on_commit(event.batch, event.result, now)
         elif isinstance(event, message.Share):
-            self._core.budget.share(event.daemons)
+            self._core.budget.set_daemon_count(event.daemons)
         else:
             self._core.on_read(event.result, now)
 
@@ -337,7 +337,7 @@
         if made.kind is decision.Kind.GRANTED:
             return Acquired(made.kind, claim=Claim(made.ticket, row, made.send_before))
         if made.kind is decision.Kind.REFUSED or made.kept is None:
-            return Acquired(made.kind, made.told)
+            return Acquired(made.kind, made.caller_verdict)
         answer = made.kept.answer
         if answer is not None and made.kept.body_object:
             body = None
@@ -347,4 +347,4 @@
         if answer is None:
             lost = verdict.may_have_run(verdict.Reason.STORE_UNAVAILABLE, 1.0)
             return Acquired(decision.Kind.REFUSED, lost)
-        return Acquired(made.kind, made.told, answer=answer)
+        return Acquired(made.kind, made.caller_verdict, answer=answer)
--- a/wigeonhitch/idempotency/tests/history.py
+++ b/wigeonhitch/idempotency/tests/history.py
@@ -49,7 +49,11 @@
         name, claims, keys = daemon
         for action in claims.step(self.now):
             if isinstance(action, decision.Decision):
-                self.told.append(action.told.ran.value if action.told else "granted")
+                self.told.append(
+                    action.caller_verdict.ran.value
+                    if action.caller_verdict
+                    else "granted"
+                )
             if isinstance(action, batch.Commit):
                 self.commits.append((daemon, action))
             elif isinstance(action, decision.Read):
@@ -59,7 +63,7 @@
             elif action.kind is decision.Kind.REPLAYED:
                 answer = self.runs[keys[action.ticket]][-1][1]
                 assert action.kept.answer.body == answer
-            elif action.told.ran is verdict.Ran.NO:
+            elif action.caller_verdict.ran is verdict.Ran.NO:
                 self.tell_not_run(name, action.ticket)
 
     def tell_not_run(self, name, ticket):
--- a/wigeonhitch/idempotency/tests/test_core.py
+++ b/wigeonhitch/idempotency/tests/test_core.py
@@ -42,10 +42,10 @@
     claims.step(0.1)
     claims.acquire("claim/s/b", "print", 0.2, 9.0)
     (refused,) = claims.step(0.2)
-    assert refused.told.reason is verdict.Reason.STORE_UNAVAILABLE
+    assert refused.caller_verdict.reason is verdict.Reason.STORE_UNAVAILABLE
     assert claims.step(0.6) == [decision.Read(())]
     claims.on_read(DOWN, 0.6)
-    assert claims.wake(0.6) == pytest.approx(1.1)
+    assert claims.next_wake(0.6) == pytest.approx(1.1)
 
 
 def test_writes_keep_to_their_rate_and_batches_grow_meanwhile(claims):
@@ -86,7 +86,7 @@
     claims.step(0.0)
     claims.on_read(UP, 0.0)
     if share:
-        claims.budget.share(daemons)
+        claims.budget.set_daemon_count(daemons)
     written = records = 0
     for index in range(20 * 100):
         now = index * 0.01
@@ -104,18 +104,18 @@
 def test_all_daemons_together_keep_to_the_total_of_table_writes(daemons):
     burst = batch.DEFAULT_LIMITS.burst / 20.0
     written = daemons * (count_writes(daemons) - burst)
-    assert written <= batch.DEFAULT_LIMITS.total
+    assert written <= batch.DEFAULT_LIMITS.total_rate
 
 
 def test_without_a_share_many_daemons_exceed_the_total():
-    assert 220 * count_writes(220, share=False) > 10 * batch.DEFAULT_LIMITS.total
+    assert 220 * count_writes(220, share=False) > 10 * batch.DEFAULT_LIMITS.total_rate
 
 
 def test_a_lone_callers_claims_go_out_at_once_also_at_a_small_share():
     claims = core.Core("d1", rng=random.Random(1))
     claims.step(0.0)
     claims.on_read(UP, 0.0)
-    claims.budget.share(220)
+    claims.budget.set_daemon_count(220)
     for now in (0.01, 0.04, 0.07, 0.1):
         claims.acquire(f"claim/s/{now}", "print", now, now + 9.0)
         (commit,) = find_commits(claims.step(now))
--- a/wigeonhitch/idempotency/tests/test_store.py
+++ b/wigeonhitch/idempotency/tests/test_store.py
@@ -60,7 +60,7 @@
     replayed = await ask(second)
     assert replayed.kind is decision.Kind.REPLAYED
     assert replayed.answer == answer
-    assert replayed.told == verdict.ran(verdict.Reason.REPLAYED)
+    assert replayed.caller_verdict == verdict.ran(verdict.Reason.REPLAYED)
 
 
 @pytest.mark.anyio
@@ -69,9 +69,11 @@
     granted = await ask(first)
     await first.doubt(granted.claim)
     refused = await ask(second)
-    assert refused.told[:2] == verdict.may_have_run(verdict.Reason.CLAIMED)[:2]
+    assert (
+        refused.caller_verdict[:2] == verdict.may_have_run(verdict.Reason.CLAIMED)[:2]
+    )
     spread = (decision.RETURN_FROM, decision.RETURN_UNTIL)
-    assert spread[0] <= refused.told.retry_after <= spread[1]
+    assert spread[0] <= refused.caller_verdict.retry_after <= spread[1]
 
 
 @pytest.mark.anyio
@@ -87,7 +89,7 @@
     first, second = daemons
     await ask(first)
     refused = await ask(second, fingerprint="other")
-    assert refused.told == verdict.not_run(verdict.Reason.KEY_REUSED)
+    assert refused.caller_verdict == verdict.not_run(verdict.Reason.KEY_REUSED)
 
 
 @pytest.mark.anyio
@@ -98,9 +100,9 @@
     await ask(first, "before")
     platform.switch(down=True)
     refused = await ask(first)
-    assert refused.told.ran is verdict.Ran.NO
-    assert refused.told.reason is verdict.Reason.STORE_UNAVAILABLE
-    assert refused.told.retry_after >= 1.0
+    assert refused.caller_verdict.ran is verdict.Ran.NO
+    assert refused.caller_verdict.reason is verdict.Reason.STORE_UNAVAILABLE
+    assert refused.caller_verdict.retry_after >= 1.0
     platform.switch(down=False)
     with anyio.fail_after(5):
         while (await ask(first)).kind is not decision.Kind.GRANTED:
@@ -174,4 +176,4 @@
     platform.engine.store.objects.clear()
     refused = await ask(second)
     assert refused.kind is decision.Kind.REFUSED
-    assert refused.told.ran is verdict.Ran.MAYBE
+    assert refused.caller_verdict.ran is verdict.Ran.MAYBE
--- a/wigeonhitch/membership/action.py
+++ b/wigeonhitch/membership/action.py
@@ -5,7 +5,15 @@
 
 from wigeonhitch.platform import table
 
-__all__ = ["DEFAULT_LIMITS", "Commit", "Glance", "Limits", "Look", "Purpose", "Verb"]
+__all__ = [
+    "DEFAULT_LIMITS",
+    "Commit",
+    "HolderRead",
+    "Limits",
+    "FullRead",
+    "Purpose",
+    "Verb",
+]
 
 
 class Limits(NamedTuple):
@@ -22,12 +30,12 @@
     rank_delay : float
         A vacant duty is taken by the daemon that ranks first at once, by the
         next ones this much later each, so that they do not collide.
-    gap : float
+    min_renewal_interval : float
         Shortest time between renewals, also when hurried.
-    forget : float
+    row_retention : float
         A daemon row that expired this long ago is deleted: longer than any
         request, so that its absence proves that nothing is in flight.
-    look : float
+    read_interval_per_daemon : float
         All daemon rows are read again after this time for each daemon, but
         not before a third of the lease. Every row has changed by then, so the
         reading grows with the daemons and its period must grow with them: at
@@ -37,9 +45,9 @@
     lease: float = 15.0
     margin: float = 3.0
     rank_delay: float = 1.0
-    gap: float = 0.5
-    forget: float = 600.0
-    look: float = 0.25
+    min_renewal_interval: float = 0.5
+    row_retention: float = 600.0
+    read_interval_per_daemon: float = 0.25
 
 
 DEFAULT_LIMITS = Limits()
@@ -69,17 +77,20 @@
     writes: tuple[table.Write, ...]
 
 
-class Look(NamedTuple):
-    """Action: scan daemons and duties since a revision, then `duty.Duties.on_look`."""
+class FullRead(NamedTuple):
+    """Action: scan daemons and duties since a revision.
+
+    Report by `duty.Duties.on_full_read`.
+    """
 
     since: int
 
 
-class Glance(NamedTuple):
+class HolderRead(NamedTuple):
     """Action: read the rows of some holders by key, then scan the duties.
 
-    Report by `duty.Duties.on_glance`. The holders come first: a takeover in between
-    then shows a holder that was not read, and such a one counts as live.
+    Report by `duty.Duties.on_holder_read`. The holders are read first: a takeover in
+    between then shows a holder that was not read, which counts as live.
     """
 
     since: int
--- a/wigeonhitch/membership/confirmation.py
+++ b/wigeonhitch/membership/confirmation.py
@@ -11,10 +11,17 @@
 from collections.abc import Collection, Iterable, Mapping
 from typing import Any, NamedTuple
 
-__all__ = ["DaemonRow", "Limits", "Waiting", "Why", "find_waiting", "read_row"]
+__all__ = [
+    "DaemonRow",
+    "Limits",
+    "BlockingDaemon",
+    "WaitReason",
+    "find_waiting",
+    "read_row",
+]
 
 
-class Why(enum.Enum):
+class WaitReason(enum.Enum):
     """Why a stop still waits for a daemon."""
 
     NOT_APPLIED = "has not applied the drain"
@@ -54,11 +61,11 @@
     relayed: Mapping[str, tuple[int, tuple[str, ...]]]
 
 
-class Waiting(NamedTuple):
+class BlockingDaemon(NamedTuple):
     """A daemon that a stop waits for, and why."""
 
     daemon: str
-    why: Why
+    reason: WaitReason
 
 
 def read_row(key: str, value: Mapping[str, Any]) -> DaemonRow:
@@ -87,7 +94,7 @@
     drained_at: float,
     gone_vms: Collection[str],
     limits: Limits = Limits(),  # noqa: B008 - an immutable tuple
-) -> tuple[Waiting, ...]:
+) -> tuple[BlockingDaemon, ...]:
     """Return the daemons that a stop of ``vm`` must still wait for.
 
     Parameters
@@ -107,7 +114,7 @@
 
     Returns
     -------
-    tuple of Waiting
+    tuple of BlockingDaemon
         Empty when no daemon can hold or send a request to ``vm``.
 
     Notes
@@ -133,12 +140,12 @@
         if row.vm in gone_vms:
             if now - row.expires > limits.longest_request + limits.margin:
                 continue
-            why = Why.ENDED
+            why = WaitReason.ENDED
         elif row.expires < now:
             if _has_lapsed(row, len(silent), now, drained_at, limits):
                 continue
-            why = Why.SILENT
-        waiting.append(Waiting(row.daemon, why))
+            why = WaitReason.SILENT
+        waiting.append(BlockingDaemon(row.daemon, why))
     known = {row.daemon for row in rows}
     waiting.extend(_find_forgotten(vm, number, known, relayed))
     return tuple(waiting)
@@ -149,7 +156,7 @@
     number: int,
     known: Collection[str],
     relayed: Mapping[str, tuple[int, tuple[str, ...]]],
-) -> list[Waiting]:
+) -> list[BlockingDaemon]:
     """Return the daemons that are heard and have no row.
 
     Their rows were deleted, since they lost the table long ago; they still send.
@@ -157,7 +164,7 @@
     found = []
     for name, (drain, busy) in sorted(relayed.items()):
         if name not in known and (drain < number or vm in busy):
-            found.append(Waiting(name, Why.NOT_APPLIED))
+            found.append(BlockingDaemon(name, WaitReason.NOT_APPLIED))
     return found
 
 
@@ -166,13 +173,13 @@
     number: int,
     row: DaemonRow,
     relayed: Mapping[str, tuple[int, tuple[str, ...]]],
-) -> Why | None:
+) -> WaitReason | None:
     drain, busy = row.drain, row.busy
     if row.daemon in relayed and relayed[row.daemon][0] >= drain:
         drain, busy = relayed[row.daemon][0], frozenset(relayed[row.daemon][1])
     if drain < number:
-        return Why.NOT_APPLIED
-    return Why.BUSY if vm in busy else None
+        return WaitReason.NOT_APPLIED
+    return WaitReason.BUSY if vm in busy else None
 
 
 def _has_lapsed(
--- a/wigeonhitch/membership/core.py
+++ b/wigeonhitch/membership/core.py
@@ -160,7 +160,7 @@
         entry = self._entries.get(daemon)
         return entry.peer if entry else None
 
-    def hear_store(self, now: float) -> None:
+    def record_store_answer(self, now: float) -> None:
         """Note an answer of the platform's table."""
         self._store_heard = max(self._store_heard, now)
 
@@ -168,13 +168,13 @@
         """Return the seconds since the table last answered."""
         return now - self._store_heard
 
-    def learn_rows(self, peers: Iterable[Peer], now: float) -> list[MembersChanged]:
+    def update_members(self, peers: Iterable[Peer], now: float) -> list[MembersChanged]:
         """Take the unexpired daemon rows of the table as the members' list.
 
         A member that is not in the list stays known while its beats arrive: the
         table lags, and a daemon cut off from it alone still counts slots.
         """
-        self.hear_store(now)
+        self.record_store_answer(now)
         listed = {peer.daemon: peer for peer in peers if peer.daemon != self.me.daemon}
         for daemon, entry in self._entries.items():
             entry.registered = daemon in listed
@@ -185,14 +185,16 @@
         self._registered_count = 1 + len(listed)
         return self._refresh(now)
 
-    def learn_seeds(self, peers: Iterable[Peer], now: float) -> list[MembersChanged]:
+    def add_seeds(self, peers: Iterable[Peer], now: float) -> list[MembersChanged]:
         """Take the peers named in the settings, until the table names others."""
         for peer in peers:
             if peer.daemon != self.me.daemon:
                 self._entries.setdefault(peer.daemon, _Entry(peer, now))
         return self._refresh(now)
 
-    def hear(self, beat: message.Heartbeat, now: float) -> list[MembersChanged]:
+    def receive_heartbeat(
+        self, beat: message.Heartbeat, now: float
+    ) -> list[MembersChanged]:
         """Take a heartbeat that arrived directly from a peer.
 
         A daemon that was paused finds old heartbeats in its sockets. What they
@@ -249,7 +251,9 @@
         )
         return heard * 2 > self._registered_count
 
-    def find_relays(self, now: float) -> dict[str, tuple[int, tuple[str, ...]]]:
+    def find_relayed_confirmations(
+        self, now: float
+    ) -> dict[str, tuple[int, tuple[str, ...]]]:
         """Return the drains that peers confirmed to this daemon just now.
 
         A peer that is cut off from the table alone cannot write its own
--- a/wigeonhitch/membership/duty.py
+++ b/wigeonhitch/membership/duty.py
@@ -15,12 +15,12 @@
 from wigeonhitch.membership import action, lease, view
 from wigeonhitch.platform import table
 
-__all__ = ["Commit", "Duties", "Glance", "Limits", "Look", "Purpose", "Verb"]
+__all__ = ["Commit", "Duties", "HolderRead", "Limits", "FullRead", "Purpose", "Verb"]
 
 
 Limits, DEFAULT_LIMITS = action.Limits, action.DEFAULT_LIMITS
 Verb, Purpose = action.Verb, action.Purpose
-Commit, Look, Glance = action.Commit, action.Look, action.Glance
+Commit, FullRead, HolderRead = action.Commit, action.FullRead, action.HolderRead
 
 
 class Duties:
@@ -71,9 +71,9 @@
         for duty in list(self._wanted):
             self.unwant(duty)
 
-    def hurry(self, now: float) -> None:
+    def renew_soon(self, now: float) -> None:
         """Renew as soon as the shortest gap allows: the row has news."""
-        soon = max(now, self._last_renewal + self._limits.gap)
+        soon = max(now, self._last_renewal + self._limits.min_renewal_interval)
         self._next_renewal = min(self._next_renewal, soon)
 
     def is_live(self, now: float) -> bool:
@@ -97,7 +97,7 @@
         return {name: rows[name].value or {} for name in self._view.list_live()}
 
     @property
-    def looked_at(self) -> float:
+    def full_read_at(self) -> float:
         """When all rows were asked for last; 0 before the first look."""
         return self._view.listed
 
@@ -108,10 +108,10 @@
             return None
         return lease.Lease(duty, fence, self._lapse)
 
-    def on_look(
+    def on_full_read(
         self, daemons: table.ReadResult, duties: table.ReadResult, sent: float
     ) -> None:
-        """Take the result of a `Look` that `step` gave at ``sent``."""
+        """Take the result of a `FullRead` that `step` gave at ``sent``."""
         self._is_looking = False
         done = table.Outcome.DONE
         if daemons.outcome is not done or duties.outcome is not done:
@@ -120,10 +120,10 @@
         self._view.merge(daemons, duties, sent)
         self._note_holders(sent)
 
-    def on_glance(
+    def on_holder_read(
         self, holders: table.ReadResult, duties: table.ReadResult, sent: float
     ) -> None:
-        """Take the result of a `Glance` that `step` gave at ``sent``."""
+        """Take the result of a `HolderRead` that `step` gave at ``sent``."""
         self._is_looking = False
         done = table.Outcome.DONE
         if holders.outcome is not done or duties.outcome is not done:
@@ -149,8 +149,10 @@
             self._on_renewal(result, sent, now)
         elif not is_done:
             # The view is stale: look first, or each event would try again.
-            self._not_before[purpose] = now + 2 * self._limits.gap
-            self._next_look = min(self._next_look, now + self._limits.gap)
+            self._not_before[purpose] = now + 2 * self._limits.min_renewal_interval
+            self._next_look = min(
+                self._next_look, now + self._limits.min_renewal_interval
+            )
             if purpose.verb is Verb.FORGET:
                 self._next_whole = self._next_look
         elif purpose.verb is Verb.TAKE:
@@ -167,12 +169,12 @@
         if purpose == Purpose(Verb.FORGET, self._daemon):
             self._version = result.conflicts[0].version if result.conflicts else 0
 
-    def step(self, now: float) -> list[Commit | Look | Glance]:
+    def step(self, now: float) -> list[Commit | FullRead | HolderRead]:
         """Return the actions that are due."""
         if not self.is_live(now):
             # Somebody may have taken over; a look after a renewal tells.
             self._held.clear()
-        actions: list[Commit | Look | Glance] = []
+        actions: list[Commit | FullRead | HolderRead] = []
         if not self._is_looking and now >= self._next_look:
             actions.append(self._look(now))
         if not self._view.time:
@@ -189,14 +191,14 @@
 
     def wake(self, now: float) -> float:
         """Return when to call `step` again without an event; seconds."""
-        times = [now + self._limits.gap]
+        times = [now + self._limits.min_renewal_interval]
         if not self._is_looking:
             times.append(self._next_look)
         if Purpose(Verb.RENEW) not in self._inflight and self._view.time:
             times.append(self._next_renewal)
         return max(now, min(times))
 
-    def _look(self, now: float) -> Look | Glance:
+    def _look(self, now: float) -> FullRead | HolderRead:
         """Return the reading that is due.
 
         Made for hundreds of daemons, whose rows all change within a look. Only
@@ -211,16 +213,18 @@
         self._next_look = now + third
         if now < self._next_whole:
             holders = self._view.list_doubtful(self._wanted, now) - {self._daemon}
-            return Glance(self._view.duties_revision, tuple(sorted(holders)))
+            return HolderRead(self._view.duties_revision, tuple(sorted(holders)))
         # Less half a look, so that the look nearest to the period is taken and
         # not the next one, when it comes a moment early.
-        period = max(third, self._limits.look * len(self._view.daemons))
+        period = max(
+            third, self._limits.read_interval_per_daemon * len(self._view.daemons)
+        )
         self._next_whole = now + period - third / 2
-        return Look(self._view.revision)
+        return FullRead(self._view.revision)
 
     def _on_renewal(self, result: table.CommitResult, sent: float, now: float) -> None:
         if result.outcome is not table.Outcome.DONE:
-            self._next_renewal = now + self._limits.gap
+            self._next_renewal = now + self._limits.min_renewal_interval
             for row in result.conflicts:
                 # Only this daemon writes the row: an earlier renewal landed.
                 self._version = row.version
@@ -302,7 +306,7 @@
             # The silent majority may go on serving without the table.
             return []
         for name, row in self._view.daemons.items():
-            is_old = self._view.get_age(name) > self._limits.forget
+            is_old = self._view.get_age(name) > self._limits.row_retention
             if is_old and view.rank(name, self._daemon, live) == 0:
                 old = table.Condition(row.key, row.version)
                 return self._commit(Purpose(Verb.FORGET, name), [old], None)
--- a/wigeonhitch/membership/holder.py
+++ b/wigeonhitch/membership/holder.py
@@ -61,9 +61,9 @@
         return self._duties.live
 
     @property
-    def looked_at(self) -> float:
+    def full_read_at(self) -> float:
         """When that reading was asked for, on the clock that counts suspension."""
-        return self._duties.looked_at
+        return self._duties.full_read_at
 
     @property
     def is_live(self) -> bool:
@@ -84,9 +84,9 @@
         self._duties.unwant(name)
         self._news.set()
 
-    def hurry(self) -> None:
+    def renew_soon(self) -> None:
         """Write the daemon's row soon: its further fields have news."""
-        self._duties.hurry(self._clock())
+        self._duties.renew_soon(self._clock())
         self._news.set()
 
     async def leave(self, timeout: float) -> bool:
@@ -122,23 +122,23 @@
                     await self._news.wait()
 
     async def _carry_out(
-        self, action: duty.Commit | duty.Look | duty.Glance, sent: float
+        self, action: duty.Commit | duty.FullRead | duty.HolderRead, sent: float
     ) -> None:
-        if isinstance(action, duty.Look):
+        if isinstance(action, duty.FullRead):
             await self._look(action, sent)
-        elif isinstance(action, duty.Glance):
+        elif isinstance(action, duty.HolderRead):
             await self._glance(action, sent)
         else:
             await self._commit(action, sent)
         self._news.set()
 
-    async def _look(self, action: duty.Look, sent: float) -> None:
+    async def _look(self, action: duty.FullRead, sent: float) -> None:
         options = {"purpose": "duty", "since": action.since, "timeout": CALL_TIMEOUT}
         daemons = await self._store.scan("daemon/", **options)
         duties = await self._store.scan("duty/", **options)
-        self._duties.on_look(daemons, duties, sent)
+        self._duties.on_full_read(daemons, duties, sent)
 
-    async def _glance(self, action: duty.Glance, sent: float) -> None:
+    async def _glance(self, action: duty.HolderRead, sent: float) -> None:
         options = {"purpose": "duty", "timeout": CALL_TIMEOUT}
         # No holder, no read: a result without rows stands for it.
         holders = table.ReadResult(table.Outcome.DONE)
@@ -146,7 +146,7 @@
             keys = [view.DAEMON + name for name in action.holders]
             holders = await self._store.read(keys, **options)
         duties = await self._store.scan(view.DUTY, since=action.since, **options)
-        self._duties.on_glance(holders, duties, sent)
+        self._duties.on_holder_read(holders, duties, sent)
 
     async def _commit(self, action: duty.Commit, sent: float) -> None:
         (write,) = action.writes
--- a/wigeonhitch/membership/task.py
+++ b/wigeonhitch/membership/task.py
@@ -60,7 +60,7 @@
         """Take the transport that carries the beats."""
         self._transport = made
 
-    def tell(self, daemon: str, given: Any, purpose: str) -> bool:
+    def send(self, daemon: str, given: Any, purpose: str) -> bool:
         """Send a message to a daemon; False if its address is not known."""
         peer = self._members.find_peer(daemon)
         if peer is None or self._transport is None:
@@ -68,11 +68,11 @@
         self._transport.send(peer.address, given, purpose)
         return True
 
-    def hear(self, received: codec.Received) -> bool:
+    def handle_message(self, received: codec.Received) -> bool:
         """Take a heartbeat; False if the message is of another kind."""
         if not isinstance(received.message, message.Heartbeat):
             return False
-        self._act(self._members.hear(received.message, self._clock()))
+        self._act(self._members.receive_heartbeat(received.message, self._clock()))
         self._on_heartbeat(received.message)
         return True
 
@@ -92,9 +92,9 @@
             self._beat()
             await anyio.sleep(core.BEAT_PERIOD)
 
-    def hear_store(self, asked: float) -> None:
+    def record_store_answer(self, asked: float) -> None:
         """Note that the table answered a call made at ``asked``."""
-        self._members.hear_store(asked)
+        self._members.record_store_answer(asked)
 
     def find_alive(self) -> frozenset[str]:
         """Return the daemons heard lately, and this one."""
@@ -106,7 +106,7 @@
         Only peers whose own rows have expired are spoken for, so that the row
         stays small.
         """
-        relays = self._members.find_relays(self._clock())
+        relays = self._members.find_relayed_confirmations(self._clock())
         live = self._holder.live
         return {
             "registered": self._members.registered_count,
@@ -134,11 +134,11 @@
                 self._transport.send(one.peer.address, one.heartbeat, PURPOSE)
 
     def _learn_rows(self) -> None:
-        if self._holder.looked_at == self._looked_at:
+        if self._holder.full_read_at == self._looked_at:
             return
-        self._looked_at = self._holder.looked_at
+        self._looked_at = self._holder.full_read_at
         peers = [_make_peer(name, row) for name, row in self._holder.live.items()]
-        self._act(self._members.learn_rows(peers, self._looked_at))
+        self._act(self._members.update_members(peers, self._looked_at))
 
 
 def _make_peer(name: str, row: Mapping[str, Any]) -> core.Peer:
--- a/wigeonhitch/membership/tests/test_confirmation.py
+++ b/wigeonhitch/membership/tests/test_confirmation.py
@@ -19,8 +19,8 @@
 def test_stop_waits_for_each_daemon_that_has_not_applied_the_drain():
     rows = [make_row("a"), make_row("b", drain=6), make_row("c", busy=["w1"])]
     assert find(rows) == (
-        confirmation.Waiting("b", confirmation.Why.NOT_APPLIED),
-        confirmation.Waiting("c", confirmation.Why.BUSY),
+        confirmation.BlockingDaemon("b", confirmation.WaitReason.NOT_APPLIED),
+        confirmation.BlockingDaemon("c", confirmation.WaitReason.BUSY),
     )
 
 
--- a/wigeonhitch/membership/tests/test_core.py
+++ b/wigeonhitch/membership/tests/test_core.py
@@ -14,7 +14,7 @@
         core.Members(peer, limits, index, now) for index, peer in enumerate(peers)
     ]
     for one in members:
-        one.learn_rows(peers, now)
+        one.update_members(peers, now)
     return members
 
 
@@ -28,7 +28,7 @@
                 sent += 1
                 receiver = by_name.get(action.peer.daemon)
                 if receiver and not cut & {one.me.daemon, action.peer.daemon}:
-                    receiver.hear(action.heartbeat, now)
+                    receiver.receive_heartbeat(action.heartbeat, now)
     return sent
 
 
@@ -81,7 +81,7 @@
         if isinstance(action, core.SendHeartbeat) and action.peer.daemon == "d0"
     ]
     for beat in kept:
-        members[0].hear(beat, 300.0)
+        members[0].receive_heartbeat(beat, 300.0)
     assert not members[0].has_send_right(300.0)
 
 
@@ -93,13 +93,13 @@
                 pair = {one.me.daemon, action.peer.daemon}
                 if pair != {"d0", "d1"}:
                     receiver = next(m for m in members if m.me == action.peer)
-                    receiver.hear(action.heartbeat, float(second))
+                    receiver.receive_heartbeat(action.heartbeat, float(second))
     assert members[0].find_alive(19.0) == {"d0", "d1", "d2"}
 
 
 def test_member_that_is_only_passed_on_waits_for_its_row():
     one, other = make_members(2)
     beat = message.Heartbeat("d1", 5, 0, members=(message.Member("d7", 3, 10),))
-    one.hear(beat, 1.0)
+    one.receive_heartbeat(beat, 1.0)
     assert one.find_peer("d7") is None
     assert "d1" in one.find_alive(1.0)
--- a/wigeonhitch/membership/tests/test_duty.py
+++ b/wigeonhitch/membership/tests/test_duty.py
@@ -42,11 +42,11 @@
     def call(self, action, fate):
         store = self.platform.engine.store
         now = self.platform.now
-        if isinstance(action, duty.Look | duty.Glance):
+        if isinstance(action, duty.FullRead | duty.HolderRead):
             if fate == "down":
                 failed = table.ReadResult(table.Outcome.NOT_DONE)
                 return failed, failed
-            if isinstance(action, duty.Look):
+            if isinstance(action, duty.FullRead):
                 daemons = store.scan("daemon/", action.since)
             else:
                 daemons = store.read([f"daemon/{name}" for name in action.holders])
@@ -70,10 +70,10 @@
         results, self.results = self.results, []
         for action, result, sent in results:
             result = result or self.call(action, "done")
-            if isinstance(action, duty.Look):
-                self.duties.on_look(*result, sent)
-            elif isinstance(action, duty.Glance):
-                self.duties.on_glance(*result, sent)
+            if isinstance(action, duty.FullRead):
+                self.duties.on_full_read(*result, sent)
+            elif isinstance(action, duty.HolderRead):
+                self.duties.on_holder_read(*result, sent)
             else:
                 now = self.platform.now
                 self.duties.on_commit(action.purpose, result, sent, now)
@@ -141,7 +141,7 @@
 class LargeCluster(Cluster):
     """Reads all daemon rows once a minute, as a system of 240 daemons does."""
 
-    limits = duty.Limits(look=20.0)
+    limits = duty.Limits(read_interval_per_daemon=20.0)
 
 
 CLUSTERS = [Cluster, LargeCluster]
@@ -256,7 +256,7 @@
     """Let a renewal reach the store only after a takeover."""
     holder = find_holder(cluster)
     node = cluster.nodes[holder]
-    node.duties.hurry(cluster.platform.now)
+    node.duties.renew_soon(cluster.platform.now)
     node.step()
     for _ in range(22):
         node.step("down")
@@ -364,7 +364,11 @@
 def make_system(count, period):
     """Return a settled cluster of daemons, and what each reads in a minute."""
     named = {"names": [f"d{index}" for index in range(count)]}
-    made = type("System", (Cluster,), named | {"limits": duty.Limits(look=period)})()
+    made = type(
+        "System",
+        (Cluster,),
+        named | {"limits": duty.Limits(read_interval_per_daemon=period)},
+    )()
     made.run_without(40, "")
     before = sum(node.rows_read for node in made.nodes.values())
     made.run_without(60, "")
--- a/wigeonhitch/membership/tests/test_holder.py
+++ b/wigeonhitch/membership/tests/test_holder.py
@@ -6,7 +6,7 @@
 from standins import fake
 from wigeonhitch.membership import duty, holder
 
-LIMITS = duty.Limits(lease=0.6, margin=0.1, rank_delay=0.02, gap=0.02)
+LIMITS = duty.Limits(lease=0.6, margin=0.1, rank_delay=0.02, min_renewal_interval=0.02)
 TICK = 0.01
 
 
--- a/wigeonhitch/membership/transport.py
+++ b/wigeonhitch/membership/transport.py
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    queue : int
+    max_queued_frames : int
         Frames that wait for one peer; at some hundred a second this is
         seconds of traffic, and older frames than that are of no use.
     connect_timeout, send_timeout : float
@@ -52,7 +52,7 @@
         Seconds between attempts to connect to the same peer.
     """
 
-    queue: int = 1000
+    max_queued_frames: int = 1000
     connect_timeout: float = 1.0
     send_timeout: float = 5.0
     retry_pause: float = 0.5
@@ -152,7 +152,7 @@
         stream = self._streams.get(address)
         if stream is None and self._group is not None:
             stream, source = anyio.create_memory_object_stream[bytes](
-                self._limits.queue
+                self._limits.max_queued_frames
             )
             self._streams[address] = stream
             self._group.start_soon(self._own_connection, address, source)
