--- a/wigeonhitch/membership/__init__.py
+++ b/wigeonhitch/membership/__init__.py
@@ -1,9 +1,9 @@
-"""Peers, duty leases with fencing, and confirmation of drains.
+"""Membership of daemons, duty leases with fencing, and confirmation of drains.
 
-Public: `lease` is what the holder of a duty knows, `holder` the task to embed,
-`duty` its decisions and times; `core`, `message`, `task` and `transport` are
-the heartbeats between daemons; `confirmation` says when a drained VM may be
-stopped.
+Public modules: `lease` has the lease of a duty, `holder` the task to embed, and
+`duty` its state machine and limits. `core`, `message`, `task` and `transport`
+implement the heartbeats between daemons. `confirmation` decides when a drained VM
+may be stopped.
 """
 
 __all__ = [
--- a/wigeonhitch/membership/action.py
+++ b/wigeonhitch/membership/action.py
@@ -1,4 +1,4 @@
-"""What the decisions on duties take and return: limits and actions."""
+"""Limits and actions of the duty state machine."""
 
 import enum
 from typing import NamedTuple
@@ -22,24 +22,24 @@
     Parameters
     ----------
     lease : float
-        After this time without renewal others take over. Fifteen seconds
-        outlast a short outage of the store and a pause of some seconds.
+        Duration of a lease; without renewal others take over after it. Fifteen
+        seconds outlast a short outage of the store and a pause of some seconds.
     margin : float
-        The holder stops this much before the lease ends: room for drift of
-        clocks and for an action begun just before.
+        The holder stops acting this long before the lease ends. It allows for
+        clock drift and for an action that began just before.
     rank_delay : float
-        A vacant duty is taken by the daemon that ranks first at once, by the
-        next ones this much later each, so that they do not collide.
+        The daemon that ranks first takes over a vacant duty at once; each next rank
+        waits this much longer, so that their commits do not conflict.
     min_renewal_interval : float
-        Shortest time between renewals, also when hurried.
+        Minimum time between renewals, including early ones.
     row_retention : float
-        A daemon row that expired this long ago is deleted: longer than any
-        request, so that its absence proves that nothing is in flight.
+        A daemon row that expired this long ago is deleted. This is longer than any
+        request, so the absence of a row proves that nothing is in flight.
     read_interval_per_daemon : float
-        All daemon rows are read again after this time for each daemon, but
-        not before a third of the lease. Every row has changed by then, so the
-        reading grows with the daemons and its period must grow with them: at
-        220 daemons of 200 bytes every 55 s, 0.8 KB/s instead of 9 KB/s.
+        Interval between reads of all daemon rows, multiplied by the number of
+        daemons; at least a third of the lease. Every row has changed by the next
+        read, so its size grows with the number of daemons, and its interval must
+        grow too: 220 rows of 200 bytes every 55 s are 0.8 KB/s instead of 9 KB/s.
     """
 
     lease: float = 15.0
@@ -54,23 +54,23 @@
 
 
 class Verb(enum.Enum):
-    """What a commit is for."""
+    """Operation of a commit."""
 
     RENEW = "renew the own daemon row"
-    TAKE = "take a duty over"
+    TAKE_OVER = "take a duty over"
     RELEASE = "release a duty"
-    FORGET = "delete a daemon row"
+    DELETE = "delete a daemon row"
 
 
 class Purpose(NamedTuple):
-    """What a commit is for, and the duty or daemon it names."""
+    """Operation of a commit, and the name of its duty or daemon."""
 
     verb: Verb
     name: str = ""
 
 
 class Commit(NamedTuple):
-    """Action: commit, then report by `duty.Duties.on_commit`."""
+    """Action: commit, then call `duty.Duties.on_commit`."""
 
     purpose: Purpose
     conditions: tuple[table.Condition, ...]
@@ -78,9 +78,9 @@
 
 
 class FullRead(NamedTuple):
-    """Action: scan daemons and duties since a revision.
+    """Action: scan the rows of daemons and duties changed since a revision.
 
-    Report by `duty.Duties.on_full_read`.
+    The result goes to `duty.Duties.on_full_read`.
     """
 
     since: int
@@ -89,8 +89,9 @@
 class HolderRead(NamedTuple):
     """Action: read the rows of some holders by key, then scan the duties.
 
-    Report by `duty.Duties.on_holder_read`. The holders are read first: a takeover in
-    between then shows a holder that was not read, which counts as live.
+    The result goes to `duty.Duties.on_holder_read`. The holders are read first: a
+    takeover between the two reads then shows a holder whose row was not read, which
+    counts as live.
     """
 
     since: int
--- a/wigeonhitch/membership/confirmation.py
+++ b/wigeonhitch/membership/confirmation.py
@@ -1,10 +1,9 @@
-"""When a drained VM may be stopped: who could still send to it.
+"""Decides whether a drained VM may be stopped.
 
-The load: a wave drains a few VMs at a time while hundreds of daemons send
-requests. The harm prevented: a request cut off by a planned stop because one
-daemon was paused, cut off or slow to hear of the drain. A stop therefore waits
-for every daemon that could hold a request, and gives up waiting only for one
-that surely sends nothing more.
+A wave drains a few VMs at a time while hundreds of daemons send requests. A planned
+stop must not interrupt a request because one daemon was paused, cut off or late to
+learn of the drain. A stop therefore waits for every daemon that may have a request
+on the VM, except for daemons that can no longer send.
 """
 
 import enum
@@ -31,17 +30,17 @@
 
 
 class Limits(NamedTuple):
-    """Times after which a silent daemon surely holds no request.
+    """Times after which a silent daemon has no request in progress.
 
     Parameters
     ----------
     send_right : float
-        Seconds a cut-off daemon goes on sending; as in the membership limits.
+        Seconds for which a cut-off daemon may still send; as in `core.Limits`.
     longest_request : float
-        Seconds the longest request may take; every daemon abandons an attempt
-        after this time, so that a bound exists at all.
+        Maximum seconds of a request. Every daemon abandons an attempt after this
+        time, since the wait could not be bounded otherwise.
     margin : float
-        Seconds for clocks that run at different rates.
+        Allowance in seconds for clocks that run at different rates.
     """
 
     send_right: float = 10.0
@@ -50,7 +49,7 @@
 
 
 class DaemonRow(NamedTuple):
-    """What a stop needs to know from one ``daemon/`` row."""
+    """The fields of a ``daemon/`` row that decide about a stop."""
 
     daemon: str
     vm: str
@@ -62,7 +61,7 @@
 
 
 class BlockingDaemon(NamedTuple):
-    """A daemon that a stop waits for, and why."""
+    """A daemon that a stop waits for, and the reason."""
 
     daemon: str
     reason: WaitReason
@@ -95,34 +94,35 @@
     gone_vms: Collection[str],
     limits: Limits = Limits(),  # noqa: B008 - an immutable tuple
 ) -> tuple[BlockingDaemon, ...]:
-    """Return the daemons that a stop of ``vm`` must still wait for.
+    """Return the daemons for which a stop of ``vm`` must still wait.
 
     Parameters
     ----------
     vm : str
         The VM to be stopped.
     number : int
-        The drain's number: version of the VM's row when it became draining.
+        Number of the drain: the version of the VM's row when it became draining.
     rows : iterable of DaemonRow
         All daemon rows, read after the drain was committed.
     now, drained_at : float
-        Table's clock, seconds: at the reading, and when the drain was committed.
+        Times of the table's clock, in seconds, at the read and at the commit of the
+        drain.
     gone_vms : collection of str
-        Entry VMs that the platform certainly ended. What their daemons sent
-        before may still run on a worker, for as long as the longest request.
+        VMs of daemons that the platform has certainly ended. Requests that their
+        daemons sent may still run on a worker, for as long as the longest request.
     limits : Limits
 
     Returns
     -------
     tuple of BlockingDaemon
-        Empty when no daemon can hold or send a request to ``vm``.
+        Empty if no daemon has a request on ``vm`` or can send one to it.
 
     Notes
     -----
-    A silent daemon keeps its right to send only while it hears a majority of
-    the daemons it last saw registered. If more than half of those are not
-    silent, it must have heard one that has applied the drain, within
-    ``send_right`` of the moment the last of them confirmed.
+    A silent daemon keeps its right to send only while it hears from a majority of the
+    daemons that it last saw registered. If more than half of those are not silent, it
+    must have heard from one that has applied the drain, within ``send_right`` of the
+    time at which the last of them confirmed.
     """
     rows = tuple(rows)
     silent = [row for row in rows if row.expires < now]
@@ -134,38 +134,39 @@
     }
     waiting = []
     for row in rows:
-        why = _find_reason(vm, number, row, relayed)
-        if why is None:
+        reason = _find_reason(vm, number, row, relayed)
+        if reason is None:
             continue
         if row.vm in gone_vms:
             if now - row.expires > limits.longest_request + limits.margin:
                 continue
-            why = WaitReason.ENDED
+            reason = WaitReason.ENDED
         elif row.expires < now:
             if _has_lapsed(row, len(silent), now, drained_at, limits):
                 continue
-            why = WaitReason.SILENT
-        waiting.append(BlockingDaemon(row.daemon, why))
+            reason = WaitReason.SILENT
+        waiting.append(BlockingDaemon(row.daemon, reason))
     known = {row.daemon for row in rows}
-    waiting.extend(_find_forgotten(vm, number, known, relayed))
+    waiting.extend(_find_without_row(vm, number, known, relayed))
     return tuple(waiting)
 
 
-def _find_forgotten(
+def _find_without_row(
     vm: str,
     number: int,
     known: Collection[str],
     relayed: Mapping[str, tuple[int, tuple[str, ...]]],
 ) -> list[BlockingDaemon]:
-    """Return the daemons that are heard and have no row.
+    """Return unconfirmed daemons that peers hear from but that have no row.
 
-    Their rows were deleted, since they lost the table long ago; they still send.
+    Their rows were deleted because they lost contact to the table long ago, but they
+    may still send.
     """
-    found = []
+    blocking = []
     for name, (drain, busy) in sorted(relayed.items()):
         if name not in known and (drain < number or vm in busy):
-            found.append(BlockingDaemon(name, WaitReason.NOT_APPLIED))
-    return found
+            blocking.append(BlockingDaemon(name, WaitReason.NOT_APPLIED))
+    return blocking
 
 
 def _find_reason(
@@ -188,5 +189,5 @@
     if silent * 2 > row.registered:
         return False
     since = max(row.expires, drained_at)
-    quiet = limits.send_right + limits.longest_request + limits.margin
-    return now - since > quiet
+    silence_limit = limits.send_right + limits.longest_request + limits.margin
+    return now - since > silence_limit
--- a/wigeonhitch/membership/lease.py
+++ b/wigeonhitch/membership/lease.py
@@ -1,9 +1,9 @@
-"""Duty leases: what a duty's runner needs to know before it writes.
+"""Duty leases with fencing tokens.
 
-A duty row ``duty/{name}`` names its holder and changes only at takeover; the
-holder proves that it lives by renewing its one daemon row. A takeover changes
-the duty row's version, so a transaction that carries `Lease.condition` fails
-for a holder that has been replaced, however long it was paused.
+A duty row ``duty/{name}`` names the holder and changes only when the holder changes.
+The holder shows that it is alive by renewing its own daemon row. A takeover changes
+the version of the duty row, so a transaction with `Lease.condition` fails for a
+holder that has been replaced, however long it was paused.
 """
 
 from typing import NamedTuple, Protocol
@@ -32,7 +32,7 @@
 
     @property
     def condition(self) -> table.Condition:
-        """Return the condition to put into every transaction of the duty."""
+        """Return the condition that every transaction of the duty must include."""
         return table.Condition(f"duty/{self.duty}", self.fence)
 
 
@@ -44,7 +44,7 @@
         ...
 
     def want(self, duty: str) -> None:
-        """Begin to compete for a duty."""
+        """Start to compete for a duty."""
         ...
 
     def unwant(self, duty: str) -> None:
--- a/wigeonhitch/membership/message.py
+++ b/wigeonhitch/membership/message.py
@@ -6,16 +6,16 @@
 
 
 class Member(NamedTuple):
-    """What one daemon passes on about another.
+    """Liveness of one daemon, as forwarded by another.
 
-    Addresses are not passed on: they are in the daemon rows of the table.
+    Addresses are not forwarded, since the daemon rows of the table have them.
 
     Parameters
     ----------
     daemon : str
-        Identity.
+        Name of the daemon.
     beat : int
-        The member's own counter; only a higher one is news.
+        The daemon's heartbeat counter; lower or equal values are ignored.
     age_ms : int
         Milliseconds since the sender learned of this beat.
     """
@@ -26,30 +26,30 @@
 
 
 class Heartbeat(NamedTuple):
-    """Sign of life, with the drains that the sender has applied.
+    """Heartbeat with the drains that the sender has applied.
 
     Parameters
     ----------
     daemon : str
-        The sender.
+        Name of the sender.
     beat : int
-        Its counter.
+        The sender's heartbeat counter.
     store_age_ms : int
-        Milliseconds since the sender last heard the platform's table.
+        Milliseconds since the platform's table last answered the sender.
     fleet_revision : int
-        Revision of its fleet view.
+        Revision of the sender's fleet view.
     unusable : tuple of str
-        VMs that must get no new request at that revision.
+        VMs that must not get new requests at that revision.
     drain : int
-        The fleet revision that the sender's request side has applied.
+        The fleet revision that the sender's routing has applied.
     busy : tuple of str
-        Unusable VMs that still hold requests of the sender.
+        Unusable VMs that still process requests of the sender.
     members : tuple of Member
-        News passed on.
+        Forwarded beats of other daemons.
     address, vm, data_centre : str
-        ``host:port`` of the sender's peer listener, its VM, failure domain.
+        ``host:port`` of the sender's peer listener, its VM and its data centre.
     echo : int
-        The receiver's newest beat that the sender knows; -1 when none. It
+        The newest beat of the receiver that the sender knows, or -1 if none. It
         proves that this heartbeat was made after that beat was sent.
     """
 
@@ -68,6 +68,6 @@
 
 
 class Configuration(NamedTuple):
-    """A message of the configuration slice, in its own encoding."""
+    """A message of the configuration package, in that package's own encoding."""
 
     data: bytes
--- a/wigeonhitch/membership/slots.py
+++ b/wigeonhitch/membership/slots.py
@@ -1,6 +1,6 @@
-"""Slot messages of the routing slice in frames between daemons.
+"""Encodes the slot messages of the routing package for frames between daemons.
 
-One frame carries all slot messages that one event caused for one peer.
+One frame carries all slot messages that one event produced for one peer.
 """
 
 from typing import NamedTuple
@@ -27,8 +27,8 @@
 class Slots(NamedTuple):
     """Slot messages in the order in which they were sent.
 
-    ``traces`` are the W3C trace contexts of the requests that the asks among
-    them are for; requests without one leave none.
+    ``traces`` are the W3C trace contexts of the requests behind the `peer.Ask`
+    messages; requests without a context add none.
     """
 
     messages: tuple[SlotMessage, ...]
@@ -56,14 +56,14 @@
 
 
 def pack(messages: tuple[peer.Message, ...], traces: tuple[str, ...] = ()) -> Slots:
-    """Return the frame content for some slot messages."""
-    packed = tuple(SlotMessage(**{FIELDS[type(one)]: one}) for one in messages)
+    """Return the frame content for slot messages."""
+    packed = tuple(SlotMessage(**{FIELDS[type(item)]: item}) for item in messages)
     return Slots(packed, traces)
 
 
 def unpack(slots: Slots) -> tuple[peer.Message, ...]:
-    """Return the slot messages of a frame; unknown ones are left out."""
-    found = []
-    for one in slots.messages:
-        found.extend(part for part in one if part is not None)
-    return tuple(found)
+    """Return the slot messages of a frame; unknown ones are skipped."""
+    unpacked = []
+    for slot_message in slots.messages:
+        unpacked.extend(part for part in slot_message if part is not None)
+    return tuple(unpacked)
--- a/wigeonhitch/membership/task.py
+++ b/wigeonhitch/membership/task.py
@@ -1,4 +1,4 @@
-"""The task that keeps a daemon's membership: beats, and what they say."""
+"""The task that sends and processes the heartbeats of a daemon."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -20,16 +20,16 @@
     Parameters
     ----------
     members : core.Members
-        The decisions; only this task calls them.
-    holder : holder.Holder
+        Membership state; only this task uses it.
+    rows : holder.Holder
         Reads the daemon rows.
     clock : callable
-        Seconds on the clock that counts suspension.
+        Returns seconds on the clock that counts suspension.
     find_drains : callable
         Returns the `core.Drains` to announce.
     on_members, on_send_right, on_heartbeat : callable
-        Called with the live members, with the right to send, and with each
-        heartbeat received.
+        Called with the live members, with the right to send when it changes, and
+        with each received heartbeat.
     instruments : metric.Instruments
     """
 
@@ -53,58 +53,58 @@
         self._on_heartbeat = on_heartbeat
         self._instruments = instruments
         self._transport: transport.Transport | None = None
-        self._has_right = True
-        self._looked_at = 0.0
+        self._has_send_right = True
+        self._rows_read_at = 0.0
 
-    def attach(self, made: transport.Transport) -> None:
-        """Take the transport that carries the beats."""
-        self._transport = made
+    def attach(self, peer_transport: transport.Transport) -> None:
+        """Set the transport that carries the messages."""
+        self._transport = peer_transport
 
-    def send(self, daemon: str, given: Any, purpose: str) -> bool:
-        """Send a message to a daemon; False if its address is not known."""
+    def send(self, daemon: str, content: Any, purpose: str) -> bool:
+        """Send a message to a daemon; return False if its address is unknown."""
         peer = self._members.find_peer(daemon)
         if peer is None or self._transport is None:
             return False
-        self._transport.send(peer.address, given, purpose)
+        self._transport.send(peer.address, content, purpose)
         return True
 
     def handle_message(self, received: codec.Received) -> bool:
-        """Take a heartbeat; False if the message is of another kind."""
+        """Process a heartbeat; return False if the message is of another type."""
         if not isinstance(received.message, message.Heartbeat):
             return False
-        self._act(self._members.receive_heartbeat(received.message, self._clock()))
+        self._execute(self._members.receive_heartbeat(received.message, self._clock()))
         self._on_heartbeat(received.message)
         return True
 
     def check_send_right(self) -> bool:
-        """Whether requests may be sent to workers at this very moment."""
-        has_right = self._members.has_send_right(self._clock())
-        if has_right != self._has_right:
-            self._has_right = has_right
-            log.log_change("right to send", held=has_right)
-            self._on_send_right(has_right)
-        return has_right
+        """Return whether requests may be sent to workers now; report a change."""
+        has_send_right = self._members.has_send_right(self._clock())
+        if has_send_right != self._has_send_right:
+            self._has_send_right = has_send_right
+            log.log_change("right to send", held=has_send_right)
+            self._on_send_right(has_send_right)
+        return has_send_right
 
     async def run(self) -> None:
-        """Beat until cancelled."""
+        """Send heartbeats until cancelled."""
         while True:
-            self._learn_rows()
-            self._beat()
-            await anyio.sleep(core.BEAT_PERIOD)
+            self._update_members()
+            self._send_heartbeats()
+            await anyio.sleep(core.HEARTBEAT_INTERVAL_SECONDS)
 
-    def record_store_answer(self, asked: float) -> None:
-        """Note that the table answered a call made at ``asked``."""
-        self._members.record_store_answer(asked)
+    def record_store_answer(self, sent_at: float) -> None:
+        """Record that the table answered a call that was sent at ``sent_at``."""
+        self._members.record_store_answer(sent_at)
 
     def find_alive(self) -> frozenset[str]:
-        """Return the daemons heard lately, and this one."""
+        """Return the daemons considered alive, this one included."""
         return self._members.find_alive(self._clock())
 
     def describe(self) -> dict[str, Any]:
-        """Return what this daemon's row says about its peers.
+        """Return the fields of this daemon's row that describe its peers.
 
-        Only peers whose own rows have expired are spoken for, so that the row
-        stays small.
+        Confirmations are relayed only for peers whose own rows have expired, so that
+        the row stays small.
         """
         relays = self._members.find_relayed_confirmations(self._clock())
         live = self._holder.live
@@ -115,9 +115,9 @@
             },
         }
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         self._members.drains = self._find_drains()
-        self._act(self._members.tick(self._clock()))
+        self._execute(self._members.tick(self._clock()))
         self.check_send_right()
         self._instruments.set(
             "members_alive",
@@ -125,21 +125,21 @@
             len(self._members.find_alive(self._clock())),
         )
 
-    def _act(self, actions: list[Any]) -> None:
-        for one in actions:
-            if isinstance(one, core.MembersChanged):
-                log.log_change("live daemons", alive=sorted(one.alive))
-                self._on_members(one.alive)
+    def _execute(self, actions: list[Any]) -> None:
+        for action in actions:
+            if isinstance(action, core.MembersChanged):
+                log.log_change("live daemons", alive=sorted(action.alive))
+                self._on_members(action.alive)
             elif self._transport is not None:
-                self._transport.send(one.peer.address, one.heartbeat, PURPOSE)
+                self._transport.send(action.peer.address, action.heartbeat, PURPOSE)
 
-    def _learn_rows(self) -> None:
-        if self._holder.full_read_at == self._looked_at:
+    def _update_members(self) -> None:
+        if self._holder.full_read_at == self._rows_read_at:
             return
-        self._looked_at = self._holder.full_read_at
-        peers = [_make_peer(name, row) for name, row in self._holder.live.items()]
-        self._act(self._members.update_members(peers, self._looked_at))
+        self._rows_read_at = self._holder.full_read_at
+        peers = [_build_peer(name, row) for name, row in self._holder.live.items()]
+        self._execute(self._members.update_members(peers, self._rows_read_at))
 
 
-def _make_peer(name: str, row: Mapping[str, Any]) -> core.Peer:
+def _build_peer(name: str, row: Mapping[str, Any]) -> core.Peer:
     return core.Peer(name, row["address"], row["vm"], row["data_centre"])
--- a/wigeonhitch/membership/tests/test_duty.py
+++ b/wigeonhitch/membership/tests/test_duty.py
@@ -1,4 +1,7 @@
-"""Two holders of one duty never act at once, whatever is lost or paused."""
+"""Test that two daemons never hold a lease of the same duty at the same time.
+
+Daemons are paused, and calls to the store are lost, delayed or refused.
+"""
 
 import hypothesis
 import pytest
@@ -10,14 +13,14 @@
 from wigeonhitch.platform import table
 
 NAMES = ("d1", "d2", "d3")
-WHICH = st.sampled_from(NAMES)
+NODE_NAMES = st.sampled_from(NAMES)
 FATES = st.sampled_from(
     ["done", "done", "done", "lost", "late", "down", "held", "slow"]
 )
 
 
 class Node:
-    """One daemon: its decisions, and the calls it has under way."""
+    """One daemon: its duty state machine and its calls in flight."""
 
     def __init__(self, platform, name, limits):
         self.platform = platform
@@ -27,9 +30,10 @@
         self.rows_read = 0
 
     def step(self, fate="done"):
-        """Decide, and let the calls reach the store.
+        """Make a step and let its calls reach the store.
 
-        Held results wait for the next step; slow calls reach the store then.
+        With ``held`` the results are delivered at the next step; with ``slow`` the
+        calls reach the store only then.
         """
         self.deliver()
         sent = self.platform.now
@@ -95,22 +99,22 @@
             name: Node(self.platform, name, self.limits) for name in self.names
         }
 
-    @stateful.rule(which=WHICH, fate=FATES)
+    @stateful.rule(which=NODE_NAMES, fate=FATES)
     def step(self, which, fate="done"):
         self.nodes[which].step(fate)
 
-    @stateful.rule(which=WHICH)
+    @stateful.rule(which=NODE_NAMES)
     def deliver(self, which):
         self.nodes[which].deliver()
 
     @stateful.rule(seconds=st.sampled_from([0.5, 1.0, 5.0, 13.0]))
     def pass_time(self, seconds):
-        """Every daemon is paused meanwhile, unless it steps."""
+        """Advance the clock; daemons are paused unless they step."""
         self.platform.advance(seconds)
 
-    @stateful.rule(seconds=st.sampled_from([1, 5, 20]), without=WHICH)
+    @stateful.rule(seconds=st.sampled_from([1, 5, 20]), without=NODE_NAMES)
     def run_without(self, seconds, without):
-        """Let all daemons but one run."""
+        """Run all daemons except ``without``."""
         for _ in range(2 * seconds):
             for name, node in self.nodes.items():
                 if name != without:
@@ -126,7 +130,7 @@
             action.conditions, action.writes, "late", self.platform.now
         )
 
-    @stateful.rule(which=WHICH, fate=FATES)
+    @stateful.rule(which=NODE_NAMES, fate=FATES)
     def hand_back(self, which, fate):
         self.nodes[which].duties.unwant("fleet")
         self.nodes[which].step(fate)
@@ -139,7 +143,7 @@
 
 
 class LargeCluster(Cluster):
-    """Reads all daemon rows once a minute, as a system of 240 daemons does."""
+    """A cluster that reads all daemon rows once a minute, like one of 240 daemons."""
 
     limits = duty.Limits(read_interval_per_daemon=20.0)
 
@@ -147,7 +151,7 @@
 CLUSTERS = [Cluster, LargeCluster]
 
 
-def search(examples, made=Cluster):
+def search(examples, machine=Cluster):
     settings = hypothesis.settings(
         max_examples=examples,
         stateful_step_count=30,
@@ -158,65 +162,65 @@
         phases=[hypothesis.Phase.generate],
         suppress_health_check=list(hypothesis.HealthCheck),
     )
-    stateful.run_state_machine_as_test(made, settings=settings)
+    stateful.run_state_machine_as_test(machine, settings=settings)
 
 
-@pytest.mark.parametrize("made", CLUSTERS)
-def test_two_leases_of_one_duty_never_overlap(made):
-    search(400, made)
+@pytest.mark.parametrize("machine", CLUSTERS)
+def test_two_leases_of_one_duty_never_overlap(machine):
+    search(400, machine)
 
 
 def trust_old_leases(monkeypatch):
-    monkeypatch.setattr(duty.Duties, "is_live", lambda self, now: self._version > 0)
+    monkeypatch.setattr(duty.Duties, "is_live", lambda self, now: self._row_version > 0)
 
 
 def take_over_without_the_holders_row(monkeypatch):
-    plain = view.View.find_vacancy
+    original = view.View.find_vacancy
 
     def find_vacancy(self, name, daemon):
-        conditions = plain(self, name, daemon)
+        conditions = original(self, name, daemon)
         return conditions and conditions[:1]
 
     monkeypatch.setattr(view.View, "find_vacancy", find_vacancy)
 
 
 def believe_late_results(monkeypatch):
-    plain = duty.Duties._on_renewal
+    original = duty.Duties._on_renewal
 
     def on_renewal(self, result, sent, now):
         kept, self._live_since = dict(self._held), float("-inf")
-        plain(self, result, sent, now)
+        original(self, result, sent, now)
         self._held, self._live_since = kept, float("-inf")
 
     monkeypatch.setattr(duty.Duties, "_on_renewal", on_renewal)
 
 
 def forget_releases(monkeypatch):
-    plain = duty.Duties._release
+    original = duty.Duties._release
 
     def release(self):
-        actions = plain(self)
+        actions = original(self)
         self._releasing.clear()
         return actions
 
     monkeypatch.setattr(duty.Duties, "_release", release)
 
 
-@pytest.mark.parametrize("made", CLUSTERS)
+@pytest.mark.parametrize("machine", CLUSTERS)
 @pytest.mark.parametrize("switch_off", [trust_old_leases, forget_releases])
 def test_the_search_finds_two_holders_without_the_mechanism(
-    monkeypatch, switch_off, made
+    monkeypatch, switch_off, machine
 ):
     switch_off(monkeypatch)
     with pytest.raises(AssertionError):
-        search(600, made)
+        search(600, machine)
 
 
 @pytest.fixture(params=CLUSTERS)
 def cluster(request):
-    made = request.param()
-    made.run_without(40, "")
-    return made
+    settled = request.param()
+    settled.run_without(40, "")
+    return settled
 
 
 def find_holder(cluster):
@@ -234,7 +238,7 @@
 
 
 def renew_while_another_takes_over(cluster):
-    """Let a takeover be decided, then the holder renew, then it lands."""
+    """Decide on a takeover, renew the holder, then apply the takeover's commit."""
     holder = find_holder(cluster)
     other = next(name for name in NAMES if name != holder)
     cluster.platform.advance(16.0)
@@ -253,7 +257,7 @@
 
 
 def pause_in_a_slow_renewal(cluster):
-    """Let a renewal reach the store only after a takeover."""
+    """Delay a renewal until it reaches the store after a takeover."""
     holder = find_holder(cluster)
     node = cluster.nodes[holder]
     node.duties.renew_soon(cluster.platform.now)
@@ -268,28 +272,28 @@
 
 
 @pytest.mark.parametrize(
-    ("happen", "switch_off"),
+    ("scenario", "switch_off"),
     [
         (renew_while_another_takes_over, take_over_without_the_holders_row),
         (pause_in_a_slow_renewal, believe_late_results),
     ],
 )
-def test_a_renewal_and_a_takeover_that_cross(cluster, monkeypatch, happen, switch_off):
-    happen(cluster)
+def test_a_takeover_that_crosses_a_renewal(cluster, monkeypatch, scenario, switch_off):
+    scenario(cluster)
     switch_off(monkeypatch)
-    again = type(cluster)()
-    again.run_without(40, "")
+    fresh_cluster = type(cluster)()
+    fresh_cluster.run_without(40, "")
     with pytest.raises(AssertionError):
-        happen(again)
+        scenario(fresh_cluster)
 
 
-def test_a_dead_holder_is_replaced_within_the_lease_and_one_look(cluster):
+def test_a_dead_holder_is_replaced_within_the_lease_and_one_read(cluster):
     dead = find_holder(cluster)
     cluster.run_without(22, dead)
     assert find_holder(cluster) != dead
 
 
-def test_a_paused_holder_that_continues_cannot_commit(cluster):
+def test_a_holder_that_was_paused_cannot_commit(cluster):
     paused = find_holder(cluster)
     held = cluster.nodes[paused].lease
     cluster.run_without(22, paused)
@@ -300,7 +304,7 @@
     assert successor.fence > held.fence
 
 
-def test_a_lost_renewal_answer_costs_nothing(cluster):
+def test_a_lost_renewal_answer_does_not_lose_the_lease(cluster):
     holder = find_holder(cluster)
     fence = cluster.nodes[holder].lease.fence
     for _ in range(20):
@@ -310,7 +314,7 @@
     assert cluster.nodes[holder].lease.fence == fence
 
 
-def test_a_daemon_that_leaves_is_replaced_at_once(cluster):
+def test_a_leaving_daemon_is_replaced_at_once(cluster):
     leaving = find_holder(cluster)
     cluster.nodes[leaving].duties.leave()
     for _ in range(3):
@@ -320,7 +324,7 @@
     assert find_holder(cluster) != leaving
 
 
-def test_a_lost_race_is_not_repeated_at_every_event(cluster):
+def test_a_failed_takeover_is_not_repeated_at_every_event(cluster):
     leaving = find_holder(cluster)
     cluster.nodes[leaving].duties.leave()
     for _ in range(3):
@@ -332,7 +336,7 @@
         now = cluster.platform.now
         for action in node.duties.step(now):
             verb = getattr(action, "purpose", duty.Purpose(duty.Verb.RENEW)).verb
-            if verb is duty.Verb.TAKE:
+            if verb is duty.Verb.TAKE_OVER:
                 takes.append(now)
                 node.duties.on_commit(action.purpose, failed, now, now)
             else:
@@ -362,21 +366,21 @@
 
 
 def make_system(count, period):
-    """Return a settled cluster of daemons, and what each reads in a minute."""
+    """Return a settled cluster and the rows that each daemon reads in a minute."""
     named = {"names": [f"d{index}" for index in range(count)]}
-    made = type(
+    system = type(
         "System",
         (Cluster,),
         named | {"limits": duty.Limits(read_interval_per_daemon=period)},
     )()
-    made.run_without(40, "")
-    before = sum(node.rows_read for node in made.nodes.values())
-    made.run_without(60, "")
-    after = sum(node.rows_read for node in made.nodes.values())
-    return made, (after - before) / count
+    system.run_without(40, "")
+    before = sum(node.rows_read for node in system.nodes.values())
+    system.run_without(60, "")
+    after = sum(node.rows_read for node in system.nodes.values())
+    return system, (after - before) / count
 
 
-def test_the_rows_that_a_daemon_reads_hardly_grow_with_the_daemons():
+def test_rows_read_per_daemon_hardly_grow_with_the_number_of_daemons():
     (_, small), (large, rows) = make_system(20, 0.25), make_system(80, 0.25)
     assert rows <= small * 1.4
     dead = find_holder(large)
--- a/wigeonhitch/membership/tests/test_holder.py
+++ b/wigeonhitch/membership/tests/test_holder.py
@@ -1,4 +1,4 @@
-"""The task that holds duties, against the fake platform."""
+"""Tests of the task that holds duties, with a fake platform."""
 
 import anyio
 import pytest
@@ -12,36 +12,36 @@
 
 @pytest.fixture
 async def platform(anyio_backend):
-    """A platform whose clock runs."""
-    made = fake.Fake(suspends=True)
+    """A fake platform with a running clock."""
+    platform_fake = fake.Fake(suspends=True)
 
     async def run():
         while True:
             await anyio.sleep(TICK)
-            made.advance(TICK)
+            platform_fake.advance(TICK)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
-        yield made
+        yield platform_fake
         tasks.cancel_scope.cancel()
 
 
 @pytest.fixture
 async def start(platform):
-    """A function that starts the holder of one daemon."""
+    """Return a function that starts the holder of one daemon."""
     async with anyio.create_task_group() as tasks:
 
         async def start(name, **fields):
-            made = holder.Holder(
+            duty_holder = holder.Holder(
                 platform.build_client(name),
                 name,
                 fields=lambda: fields,
                 clock=lambda: platform.now,
                 limits=LIMITS,
             )
-            made.want("fleet")
-            await tasks.start(made.run)
-            return made
+            duty_holder.want("fleet")
+            await tasks.start(duty_holder.run)
+            return duty_holder
 
         yield start
         tasks.cancel_scope.cancel()
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_holder_that_is_cut_off_is_replaced(platform, start):
+async def test_a_disconnected_holder_is_replaced(platform, start):
     first = await start("d1", address="h:1")
     await wait_for(lambda: first.current("fleet"))
     fence = first.current("fleet").fence
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_holder_that_leaves_gives_its_duty_and_its_row_back(platform, start):
+async def test_a_leaving_holder_releases_its_duty_and_deletes_its_row(platform, start):
     first = await start("d1")
     await wait_for(lambda: first.current("fleet"))
     second = await start("d2")
--- a/wigeonhitch/membership/tests/test_transport.py
+++ b/wigeonhitch/membership/tests/test_transport.py
@@ -26,7 +26,7 @@
 
 
 class BrokenStream:
-    """A stream whose peer has gone without a farewell, as TLS shows it."""
+    """A stream whose peer vanished without closing it, as TLS reports it."""
 
     async def receive(self, max_bytes=65536):
         raise anyio.EndOfStream
@@ -41,14 +41,14 @@
         await self.aclose()
 
 
-async def test_connection_that_breaks_while_it_closes_does_not_end_the_daemon():
+async def test_connection_that_breaks_while_closing_does_not_end_the_daemon():
     await make_transport("b", lambda received: None)._serve(BrokenStream())
 
 
 async def test_frames_arrive_in_order_and_after_a_restart(address):
-    got = []
-    sender = make_transport("a", got.append)
-    receiver = make_transport("b", got.append)
+    received = []
+    sender = make_transport("a", received.append)
+    receiver = make_transport("b", received.append)
     async with anyio.create_task_group() as group:
         await group.start(sender.run, "127.0.0.1:0")
         for first in (1, 11):
@@ -56,48 +56,48 @@
                 async with anyio.create_task_group() as inner:
                     await inner.start(receiver.run, address)
                     with anyio.fail_after(10):
-                        while len(got) < first + 4:
+                        while len(received) < first + 4:
                             for number in range(first, first + 5):
                                 sender.send(address, BEAT._replace(beat=number), "t")
                             await anyio.sleep(0.2)
                     scope.cancel()
         group.cancel_scope.cancel()
-    assert got[0] == codec.Received("a", BEAT)
-    beats = [one.message.beat for one in got[:5]]
+    assert received[0] == codec.Received("a", BEAT)
+    beats = [item.message.beat for item in received[:5]]
     assert beats == [1, 2, 3, 4, 5]
 
 
-async def test_reset_connection_and_broken_frames_leave_the_listener_up(address):
-    got = []
-    receiver = make_transport("b", got.append)
+async def test_listener_survives_reset_connections_and_invalid_frames(address):
+    received = []
+    receiver = make_transport("b", received.append)
     async with anyio.create_task_group() as group:
         await group.start(receiver.run, address)
-        where = transport.parse_address(address)
+        host_and_port = transport.parse_address(address)
         for frame in (b"", b"\0", b"\0\0\0\1x", b"\xff\xff\xff\xff", b"\0\0\0\5abc"):
-            stream = await anyio.connect_tcp(*where)
+            stream = await anyio.connect_tcp(*host_and_port)
             if frame:
                 await stream.send(frame)
             raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
             linger = struct.pack("ii", 1, 0)
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             await anyio.aclose_forcefully(stream)
-        stream = await anyio.connect_tcp(*where)
+        stream = await anyio.connect_tcp(*host_and_port)
         await stream.send(codec.encode(REGISTRY, "a", BEAT))
         with anyio.fail_after(5):
-            while not got:
+            while not received:
                 await anyio.sleep(0.01)
         await stream.aclose()
         group.cancel_scope.cancel()
 
 
-async def test_message_that_cannot_be_encoded_costs_only_itself():
+async def test_only_a_message_that_cannot_be_encoded_is_dropped():
     sender = make_transport("a", lambda received: None)
     sender.send("127.0.0.1:1", BEAT._replace(beat="text"), "t")
     sender.send("127.0.0.1:1", message.Configuration(b""), "t")
     assert sender._instruments.read("peer_failed_total", {}) == 2
 
 
-async def test_peer_that_is_not_there_costs_dropped_frames_only(address):
+async def test_frames_to_an_unreachable_peer_are_dropped(address):
     sender = make_transport("a", lambda received: None)
     async with anyio.create_task_group() as group:
         await group.start(sender.run, "127.0.0.1:0")
--- a/wigeonhitch/membership/transport.py
+++ b/wigeonhitch/membership/transport.py
@@ -1,8 +1,8 @@
 """TCP connections between daemons.
 
-Each outgoing connection is owned by one task that takes frames from a bounded
-stream; a peer that doesn't keep up loses frames, which are counted, and never
-holds up the sender. Incoming connections are only read.
+Each outgoing connection is owned by one task that takes frames from a bounded queue.
+Frames to a peer that does not keep up are dropped and counted, so that it never
+blocks the sender. Incoming connections are only read.
 """
 
 import contextlib
@@ -20,7 +20,7 @@
 __all__ = ["Address", "Limits", "Transport", "parse_address"]
 
 
-# How a connection ends when its peer, or the way to it, is lost.
+# Raised when the peer or the network path to it is lost.
 CONNECTION_ERRORS = (
     anyio.EndOfStream,
     anyio.IncompleteRead,
@@ -32,7 +32,7 @@
 
 
 class Address(NamedTuple):
-    """``host:port`` taken apart."""
+    """The parts of ``host:port``."""
 
     host: str
     port: int
@@ -44,10 +44,10 @@
     Parameters
     ----------
     max_queued_frames : int
-        Frames that wait for one peer; at some hundred a second this is
-        seconds of traffic, and older frames than that are of no use.
+        Maximum frames that wait for one peer. At some hundred frames a second these
+        are several seconds of traffic; older frames are of no use.
     connect_timeout, send_timeout : float
-        Seconds after which a connection is given up.
+        Seconds after which a connection is closed.
     retry_pause : float
         Seconds between attempts to connect to the same peer.
     """
@@ -59,7 +59,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Take ``host:port`` apart.
+    """Parse ``host:port``.
 
     Raises
     ------
@@ -71,8 +71,8 @@
     >>> parse_address("127.0.0.1:7000")
     Address(host='127.0.0.1', port=7000)
     """
-    host, found, port = text.rpartition(":")
-    if not found or not host or not port.isdigit():
+    host, colon, port = text.rpartition(":")
+    if not colon or not host or not port.isdigit():
         raise ValueError(f"address {text!r}; expected host:port")
     return Address(host.strip("[]"), int(port))
 
@@ -83,7 +83,7 @@
     Parameters
     ----------
     daemon : str
-        Name put into every frame.
+        Name of this daemon, put into every frame.
     registry : codec.Registry
         Message types.
     receive : callable
@@ -133,15 +133,15 @@
     def send(self, address: str, message: Any, purpose: str) -> None:
         """Queue a message for a peer; it is dropped if the queue is full.
 
-        A message that can't be encoded is a fault of this program. It costs
-        that message and is logged; it must not end the daemon, whose callers
-        and drains don't depend on any single message.
+        A message that cannot be encoded is a fault of this program. It is logged and
+        dropped, and must not end the daemon, whose callers and drains do not depend on
+        any single message.
         """
         try:
             frame = codec.encode(self._registry, self._daemon, message)
         except Exception:
             self._instruments.count("peer_failed_total", "Messages that failed here.")
-            log.log_fault("a message can't be encoded", kind=type(message).__name__)
+            log.log_fault("cannot encode a peer message", kind=type(message).__name__)
             return
         self._instruments.count(
             "peer_sent_bytes_total", "Bytes to peers.", len(frame), purpose=purpose
@@ -155,15 +155,15 @@
                 self._limits.max_queued_frames
             )
             self._streams[address] = stream
-            self._group.start_soon(self._own_connection, address, source)
+            self._group.start_soon(self._run_connection, address, source)
         try:
             if stream is not None:
                 stream.send_nowait(frame)
         except (anyio.WouldBlock, anyio.BrokenResourceError):
             self._instruments.count("peer_dropped_total", "Messages dropped.")
 
-    async def _own_connection(self, address: str, source: Any) -> None:
-        """Connect when there is something to send, and again after a break."""
+    async def _run_connection(self, address: str, source: Any) -> None:
+        """Connect when a frame is queued, and reconnect after a failure."""
         try:
             async for frame in source:
                 try:
@@ -171,11 +171,11 @@
                         stream = await self._connect(address)
                 except CONNECTION_ERRORS:
                     self._instruments.count("peer_unconnected_total", "Not connected.")
-                    self._drain(source)
+                    self._drop_queued(source)
                     await anyio.sleep(self._limits.retry_pause)
                     continue
                 try:
-                    await self._pump(stream, frame, source)
+                    await self._send_frames(stream, frame, source)
                 except CONNECTION_ERRORS:
                     self._instruments.count("peer_broken_total", "Connections broken.")
                 finally:
@@ -191,57 +191,57 @@
             host, port, tls=True, ssl_context=self._client_context
         )
 
-    async def _pump(self, stream: Any, frame: bytes, source: Any) -> None:
+    async def _send_frames(self, stream: Any, frame: bytes, source: Any) -> None:
         while True:
             with anyio.fail_after(self._limits.send_timeout):
                 await stream.send(frame)
             frame = await source.receive()
-            frame = b"".join((frame, *_take_waiting(source)))
+            frame = b"".join((frame, *_receive_queued(source)))
 
-    def _drain(self, source: Any) -> None:
-        dropped = len(_take_waiting(source)) + 1
+    def _drop_queued(self, source: Any) -> None:
+        dropped = len(_receive_queued(source)) + 1
         self._instruments.count("peer_dropped_total", "Messages dropped.", dropped)
 
     async def _serve(self, stream: Any) -> None:
-        """Read one incoming connection until it ends, however it ends.
+        """Read one incoming connection until it ends.
 
-        Closing can fail too, when the peer is gone without a farewell. Nothing
-        that one connection does may reach the listener's task group, which
-        would end the daemon.
+        Closing it can fail too if the peer vanished without closing the connection. No
+        error of one connection may reach the listener's task group, since that would
+        end the daemon.
         """
         with contextlib.suppress(*CONNECTION_ERRORS):
             async with stream:
-                await self._read(buffered.BufferedByteReceiveStream(stream))
+                await self._read_frames(buffered.BufferedByteReceiveStream(stream))
 
-    async def _read(self, reader: buffered.BufferedByteReceiveStream) -> None:
+    async def _read_frames(self, reader: buffered.BufferedByteReceiveStream) -> None:
         while True:
             header = await reader.receive_exactly(codec.HEADER_SIZE)
             size = codec.read_size(header)
             if isinstance(size, codec.Problem):
-                self._refuse(size)
+                self._count_refused(size)
                 return
             body = await reader.receive_exactly(size)
             received = codec.decode(self._registry, body)
             if isinstance(received, codec.Problem):
-                self._refuse(received)
+                self._count_refused(received)
                 return
-            self._take(received)
+            self._deliver(received)
 
-    def _take(self, received: codec.Received) -> None:
-        """Hand a message on; a fault in its handler must not end the daemon."""
+    def _deliver(self, received: codec.Received) -> None:
+        """Pass a message to its handler, whose faults must not end the daemon."""
         try:
             self._receive(received)
         except Exception:
             self._instruments.count("peer_failed_total", "Messages that failed here.")
-            log.log_fault("a peer's message failed here", peer=received.sender)
+            log.log_fault("cannot process a peer message", peer=received.sender)
 
-    def _refuse(self, problem: codec.Problem) -> None:
+    def _count_refused(self, problem: codec.Problem) -> None:
         self._instruments.count(
             "peer_refused_total", "Frames refused.", reason=problem.reason.split(":")[0]
         )
 
 
-def _take_waiting(source: Any) -> list[bytes]:
+def _receive_queued(source: Any) -> list[bytes]:
     frames = []
     while True:
         try:
--- a/wigeonhitch/membership/view.py
+++ b/wigeonhitch/membership/view.py
@@ -1,4 +1,4 @@
-"""Daemon and duty rows as a daemon saw them last. No I/O, no clock."""
+"""Last known daemon and duty rows of one daemon. No I/O, no clock."""
 
 import dataclasses
 import hashlib
@@ -6,48 +6,48 @@
 
 from wigeonhitch.platform import table
 
-__all__ = ["DAEMON", "DUTY", "View", "find_first", "rank"]
+__all__ = ["DAEMON_PREFIX", "DUTY_PREFIX", "View", "find_top_ranked", "rank"]
 
-DAEMON, DUTY = "daemon/", "duty/"
-"""Prefixes of the rows."""
+DAEMON_PREFIX, DUTY_PREFIX = "daemon/", "duty/"
+"""Prefixes of the row keys."""
 
 
 def rank(duty: str, daemon: str, daemons: Iterable[str]) -> int:
-    """Return how many daemons come before ``daemon`` for a duty.
+    """Return how many of ``daemons`` precede ``daemon`` for a duty.
 
-    Rendezvous hashing: duties spread evenly, and a daemon that comes or goes
-    moves only its own share.
+    This is rendezvous hashing: duties are spread evenly, and a daemon that joins or
+    leaves moves only its own share.
 
     Examples
     --------
     >>> sorted(rank("fleet", name, ["a", "b", "c"]) for name in "abc")
     [0, 1, 2]
     """
-    own = _weigh(duty, daemon)
-    return sum(_weigh(duty, other) > own for other in daemons)
+    own = _compute_weight(duty, daemon)
+    return sum(_compute_weight(duty, other) > own for other in daemons)
 
 
-def find_first(duty: str, daemons: Iterable[str]) -> str:
-    """Return the daemon of rank 0; one hash for each, not one for each pair.
+def find_top_ranked(duty: str, daemons: Iterable[str]) -> str:
+    """Return the daemon of rank 0 with one hash per daemon, not one per pair.
 
     Examples
     --------
-    >>> first = find_first("fleet", ["a", "b", "c"])
+    >>> first = find_top_ranked("fleet", ["a", "b", "c"])
     >>> rank("fleet", first, ["a", "b", "c"])
     0
     """
-    return max(daemons, key=lambda name: _weigh(duty, name))
+    return max(daemons, key=lambda name: _compute_weight(duty, name))
 
 
 @dataclasses.dataclass
 class View:
     """The rows by name, and the table's clock.
 
-    ``time`` was the table's clock at some moment after the local ``sent``, so
-    `estimate` is never behind the table. ``read`` has the table's clock when
-    each daemon's row was read last, and ``unread`` the holders of whom it isn't
-    known whether they have a row. ``listed`` is the local time at which all
-    daemons were asked for.
+    ``time`` is the table's clock at some moment after the local ``read_sent_at``, so
+    `estimate` is never behind the table. ``read_times`` has the table's clock at the
+    last read of each daemon's row. ``unread_holders`` are the holders of which it is
+    unknown whether they have a row. ``full_read_at`` is the local time at which the
+    last read of all daemons was started.
     """
 
     daemons: dict[str, table.Row] = dataclasses.field(default_factory=dict)
@@ -55,72 +55,75 @@
     revision: int = 0
     duties_revision: int = 0
     time: float = 0.0
-    sent: float = 0.0
-    listed: float = 0.0
-    read: dict[str, float] = dataclasses.field(default_factory=dict)
-    unread: set[str] = dataclasses.field(default_factory=set)
+    read_sent_at: float = 0.0
+    full_read_at: float = 0.0
+    read_times: dict[str, float] = dataclasses.field(default_factory=dict)
+    unread_holders: set[str] = dataclasses.field(default_factory=set)
 
     def estimate(self, now: float) -> float:
-        """Return the table's clock, or a little more; seconds."""
-        return self.time + now - self.sent
+        """Return an upper estimate of the table's clock; seconds."""
+        return self.time + now - self.read_sent_at
 
     def merge(
         self, daemons: table.ReadResult, duties: table.ReadResult, sent: float
     ) -> None:
-        """Take rows changed since ``revision``, read after ``sent``."""
-        _merge(self.daemons, daemons.rows, DAEMON)
-        _merge(self.duties, duties.rows, DUTY)
+        """Merge rows changed since ``revision``; their read was sent at ``sent``."""
+        _merge(self.daemons, daemons.rows, DAEMON_PREFIX)
+        _merge(self.duties, duties.rows, DUTY_PREFIX)
         self.revision = min(daemons.revision, duties.revision)
         self.duties_revision = duties.revision
-        self.time, self.sent, self.listed = daemons.time, sent, sent
-        self.read = dict.fromkeys(self.daemons, daemons.time)
-        self.unread = set()
+        self.time, self.read_sent_at, self.full_read_at = daemons.time, sent, sent
+        self.read_times = dict.fromkeys(self.daemons, daemons.time)
+        self.unread_holders = set()
 
     def merge_holders(
         self, holders: table.ReadResult, duties: table.ReadResult, sent: float
     ) -> None:
-        """Take the rows of some daemons, and duties changed since the last."""
-        _merge(self.duties, duties.rows, DUTY)
+        """Merge the rows of some daemons, and duties changed since the last read."""
+        _merge(self.duties, duties.rows, DUTY_PREFIX)
         self.duties_revision = duties.revision
-        self.time, self.sent = duties.time, sent
-        names = {row.key.removeprefix(DAEMON) for row in holders.rows}
-        _merge(self.daemons, holders.rows, DAEMON)
-        self.read.update(dict.fromkeys(names, holders.time))
-        self.unread = self.list_holders(self.duties) - names - self.daemons.keys()
+        self.time, self.read_sent_at = duties.time, sent
+        names = {row.key.removeprefix(DAEMON_PREFIX) for row in holders.rows}
+        _merge(self.daemons, holders.rows, DAEMON_PREFIX)
+        self.read_times.update(dict.fromkeys(names, holders.time))
+        self.unread_holders = (
+            self.list_holders(self.duties) - names - self.daemons.keys()
+        )
 
     def list_holders(self, duties: Iterable[str]) -> set[str]:
-        """Return the daemons that hold some of ``duties``."""
+        """Return the daemons that hold any of ``duties``."""
         return {self.get_holder(duty) for duty in duties} - {""}
 
-    def note_holder(self, duty: str, holder: str, version: int) -> None:
-        """Take what an own commit has written."""
+    def set_holder(self, duty: str, holder: str, version: int) -> None:
+        """Record the holder that a commit of this daemon has written."""
         value = {"holder": holder}
-        self.duties[duty] = table.Row(DUTY + duty, value, version)
+        self.duties[duty] = table.Row(DUTY_PREFIX + duty, value, version)
 
     def get_holder(self, duty: str) -> str:
-        """Return the holder of a duty, empty when there is none."""
+        """Return the holder of a duty, or an empty string if there is none."""
         row = self.duties.get(duty)
         return row.value.get("holder", "") if row is not None and row.value else ""
 
     def get_age(self, daemon: str) -> float:
-        """Return the seconds since a daemon's row expired, negative before.
+        """Return the seconds since a daemon's row expired; negative if it has not.
 
-        As of the last reading of the row: an old reading makes nobody look lost.
+        The time is that of the last read of the row, so a row that was read long ago
+        does not make its daemon appear lost.
         """
         row = self.daemons.get(daemon)
         if row is None or row.value is None:
             return float("inf")
-        return self.read.get(daemon, self.time) - row.value["expires"]
+        return self.read_times.get(daemon, self.time) - row.value["expires"]
 
     def list_live(self) -> list[str]:
         """Return the daemons whose row had not expired when it was read."""
         return [name for name in self.daemons if self.get_age(name) <= 0]
 
-    def list_doubtful(self, duties: Iterable[str], now: float) -> set[str]:
-        """Return the holders whose row may have expired, going by what is known.
+    def list_possibly_expired(self, duties: Iterable[str], now: float) -> set[str]:
+        """Return the holders whose row may have expired by now.
 
-        A row that was read once holds until its own ``expires``, whatever became
-        of its daemon: reading it before then could not show a vacancy.
+        A row that was read is valid until its ``expires`` even if its daemon is lost,
+        so reading it again before then cannot show a vacancy.
         """
         return {
             holder
@@ -130,24 +133,29 @@
         }
 
     def find_vacancy(self, duty: str, daemon: str) -> list[table.Condition] | None:
-        """Return the conditions under which ``daemon`` may take a duty.
+        """Return the conditions under which ``daemon`` may take over a duty.
 
-        None when another one holds it and lives. The holder's own row is
-        among the conditions, so that a renewal in time beats the takeover.
+        None is returned if the holder is alive, may be, or is ``daemon`` itself. The
+        row of an expired holder is among the conditions, so that its renewal in time
+        makes the takeover fail.
         """
         row = self.duties.get(duty)
-        own = table.Condition(DUTY + duty, row.version if row is not None else 0)
+        own = table.Condition(DUTY_PREFIX + duty, row.version if row is not None else 0)
         holder = self.get_holder(duty)
         if not holder:
             return [own]
-        if holder == daemon or holder in self.unread or self.get_age(holder) <= 0:
+        if (
+            holder == daemon
+            or holder in self.unread_holders
+            or self.get_age(holder) <= 0
+        ):
             return None
-        known = self.daemons.get(holder)
-        version = known.version if known is not None else 0
-        return [own, table.Condition(DAEMON + holder, version)]
+        holder_row = self.daemons.get(holder)
+        version = holder_row.version if holder_row is not None else 0
+        return [own, table.Condition(DAEMON_PREFIX + holder, version)]
 
 
-def _weigh(duty: str, daemon: str) -> bytes:
+def _compute_weight(duty: str, daemon: str) -> bytes:
     return hashlib.sha256(f"{duty}\0{daemon}".encode()).digest()
 
 
