--- a/wigeonhitch/membership/slots.py
+++ b/wigeonhitch/membership/slots.py
@@ -35,7 +35,7 @@
     traces: tuple[str, ...] = ()
 
 
-FIELDS = {
+FIELD_NAMES = {
     kind: name
     for name, kind in zip(
         SlotMessage._fields,
@@ -57,7 +57,7 @@
 
 def pack(messages: tuple[peer.Message, ...], traces: tuple[str, ...] = ()) -> Slots:
     """Return the frame content for slot messages."""
-    packed = tuple(SlotMessage(**{FIELDS[type(item)]: item}) for item in messages)
+    packed = tuple(SlotMessage(**{FIELD_NAMES[type(item)]: item}) for item in messages)
     return Slots(packed, traces)
 
 
--- a/wigeonhitch/wire/tests/test_codec.py
+++ b/wigeonhitch/wire/tests/test_codec.py
@@ -75,7 +75,7 @@
 
 
 def test_no_slot_message_is_left_out():
-    assert set(slots.FIELDS) == set(typing.get_args(peer.Message))
+    assert set(slots.FIELD_NAMES) == set(typing.get_args(peer.Message))
 
 
 def test_slot_messages_keep_their_order():
