--- a/wigeonhitch/placement/calls.py
+++ b/wigeonhitch/placement/calls.py
@@ -1,9 +1,9 @@
-"""Calls to the platform's task service, and what their answers mean."""
+"""Calls to the platform's task service, and the handling of their answers."""
 
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-from wigeonhitch.placement import attempt, job, settle, state
+from wigeonhitch.placement import attempt, job, reconciliation, state
 from wigeonhitch.platform import table, tasks
 
 __all__ = [
@@ -12,19 +12,20 @@
     "record_renewal",
     "find_renewals",
     "next_calls",
-    "see",
+    "record_tasks",
 ]
 
-# A worker that refused a start is left alone for this long: the view of the
-# fleet lags behind the platform by some seconds.
-COOLING = 5.0
-# A stop is asked for again if the task is still listed alive after this.
-AGAIN = 10.0
-# Above these shares of a worker's memory and cores bulk is checkpointed or
-# throttled; the memory share leaves room for what grows between two reports.
-MEMORY_SHARE = 0.92
-CORES_SHARE = 1.0
-CALM_SHARE = 0.8
+# A worker that refused a start gets no new job for this long: the fleet view lags
+# behind the platform by some seconds.
+REFUSAL_COOLDOWN_SECONDS = 5.0
+# A stop is repeated if the task is still listed alive after this time.
+STOP_RETRY_SECONDS = 10.0
+# Above these shares of a worker's memory and cores, bulk jobs are checkpointed or
+# throttled; below RESUME_CORES_SHARE the throttling ends. The memory share leaves
+# room for growth between two usage reports.
+MAX_MEMORY_SHARE = 0.92
+MAX_CORES_SHARE = 1.0
+RESUME_CORES_SHARE = 0.8
 
 S = job.JobState
 T = tasks.TaskState
@@ -40,32 +41,32 @@
     spec: tasks.TaskSpec | None = None
 
 
-def next_calls(shard: state.State, now: float, limit: int) -> list[Call]:
+def next_calls(shard: state.ShardState, now: float, limit: int) -> list[Call]:
     """Return up to ``limit`` calls; starts of urgent jobs come first."""
-    found: list[Call] = []
-    for name in sorted(shard.pending, key=lambda name: _rank(shard, name)):
-        if len(found) >= limit:
+    due_calls: list[Call] = []
+    for name in sorted(shard.pending_calls, key=lambda name: _rank_call(shard, name)):
+        if len(due_calls) >= limit:
             break
         entry = shard.jobs.get(name)
-        action = _want(shard, entry) if entry is not None else ""
+        action = _find_action(shard, entry) if entry is not None else ""
         if not action:
-            shard.pending.discard(name)
+            shard.pending_calls.discard(name)
             continue
         if entry.flying or entry.retry_at > now:
             continue
         entry.flying = True
-        found.append(_make_call(shard, entry, action))
-    return found
+        due_calls.append(_make_call(shard, entry, action))
+    return due_calls
 
 
-def _rank(shard: state.State, name: str) -> tuple[bool, bool, str]:
+def _rank_call(shard: state.ShardState, name: str) -> tuple[bool, bool, str]:
     entry = shard.jobs.get(name)
     if entry is None:
         return True, True, name
     return entry.job.state is not S.STARTING, not entry.job.is_urgent, name
 
 
-def _make_call(shard: state.State, entry: attempt.Attempt, action: str) -> Call:
+def _make_call(shard: state.ShardState, entry: attempt.Attempt, action: str) -> Call:
     item = entry.job
     if action != "start":
         return Call(action, item.name, item.attempt, item.task)
@@ -77,26 +78,26 @@
         memory=item.memory,
         work=dict(item.asked.work),
         fence=shard.fence,
-        lease=attempt.LEASE,
+        lease=attempt.TASK_LEASE_SECONDS,
     )
     return Call(action, item.name, item.attempt, item.task, spec)
 
 
-def _want(shard: state.State, entry: attempt.Attempt) -> str:
+def _find_action(shard: state.ShardState, entry: attempt.Attempt) -> str:
     item = entry.job
     if item.state is S.STARTING:
         vm = shard.vms.get(item.vm)
-        ready = vm is not None and vm.usable
-        sealing = entry.unsure
-        if entry.known or entry.refused or not ready:
+        is_usable = vm is not None and vm.usable
+        must_resolve = entry.unsure
+        if entry.known or entry.refused or not is_usable:
             return ""
-        return "" if item.cancel and not sealing and entry.calls == 0 else "start"
-    if item.state is not S.RUNNING or entry.end is not None:
+        return "" if item.cancel and not must_resolve and entry.calls == 0 else "start"
+    if item.state is not S.RUNNING or entry.result is not None:
         return ""
-    return _want_running(entry)
+    return _find_running_action(entry)
 
 
-def _want_running(entry: attempt.Attempt) -> str:
+def _find_running_action(entry: attempt.Attempt) -> str:
     item = entry.job
     if item.cancel or entry.evict:
         return "stop"
@@ -113,45 +114,45 @@
 
 
 def record_answer(
-    shard: state.State, call: Call, outcome: table.Outcome | None, now: float
+    shard: state.ShardState, call: Call, outcome: table.Outcome | None, now: float
 ) -> None:
-    """Take the outcome of a call; None when it was not sent after all."""
+    """Apply the outcome of a call; None when the call was not sent."""
     entry = shard.jobs.get(call.name)
     if entry is None or entry.job.attempt != call.attempt:
         return
     entry.flying = False
-    shard.pending.add(call.name)
+    shard.pending_calls.add(call.name)
     if outcome is None:
         entry.calls -= call.action == "start"
-        entry.retry_at = now + attempt.RETRY
+        entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
         return
     entry.touched = max(entry.touched, now)
-    shard.unsettled.add(call.name)
+    shard.unreconciled.add(call.name)
     entry.sealed = entry.sealed or outcome is table.Outcome.DONE
     if call.action == "start":
         _answer_start(shard, entry, call, outcome, now)
         return
     done = outcome is table.Outcome.DONE
-    entry.retry_at = now + attempt.RETRY
+    entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
     if not done:
         return
     entry.acted_at = now
     if call.action == "stop":
-        entry.retry_at = now + AGAIN
+        entry.retry_at = now + STOP_RETRY_SECONDS
         return
     if call.action == "checkpoint":
         entry.paused_at = now
-    shown = {
+    resulting_states = {
         "checkpoint": T.CHECKPOINTED,
         "throttle": T.THROTTLED,
         "resume": T.RUNNING,
     }
     if entry.is_alive:
-        entry.seen = entry.seen._replace(state=shown[call.action])
+        entry.seen = entry.seen._replace(state=resulting_states[call.action])
 
 
 def _answer_start(
-    shard: state.State,
+    shard: state.ShardState,
     entry: attempt.Attempt,
     call: Call,
     outcome: table.Outcome,
@@ -160,20 +161,23 @@
     if outcome is table.Outcome.DONE:
         entry.known = True
         return
-    entry.retry_at = now + attempt.RETRY
+    entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
     if outcome is table.Outcome.UNKNOWN:
         entry.unsure = True
         return
     entry.refused = True
-    shard.dirty.add(entry.job.asked.pool)
-    shard.cooling[call.spec.vm] = now + COOLING
+    shard.dirty_pools.add(entry.job.asked.pool)
+    shard.cooldown_until[call.spec.vm] = now + REFUSAL_COOLDOWN_SECONDS
     shard.counters["refused_starts"] += 1
 
 
-def see(
-    shard: state.State, listed: Sequence[tasks.Task], vms: Collection[str], at: float
+def record_tasks(
+    shard: state.ShardState,
+    listed: Sequence[tasks.Task],
+    vms: Collection[str],
+    at: float,
 ) -> None:
-    """Take a list of the tasks of ``vms`` that was asked for at time ``at``."""
+    """Apply a list of the tasks of ``vms`` that was requested at time ``at``."""
     present = set()
     for task in listed:
         name, number = job.split_task(task.task)
@@ -182,24 +186,24 @@
             continue
         present.add(name)
         if at >= entry.seen_at:
-            _see_one(shard, entry, task, at)
+            _record_task(shard, entry, task, at)
     for vm in vms:
         for name in shard.on_vm.get(vm, ()):
             entry = shard.jobs[name]
-            if name not in present and at >= entry.seen_at and entry.end is None:
+            if name not in present and at >= entry.seen_at and entry.result is None:
                 entry.seen = None
                 entry.unlisted = True
-                shard.unsettled.add(name)
-    shard.measure(vms)
+                shard.unreconciled.add(name)
+    shard.update_overrun(vms)
     for vm in vms:
-        _relieve(shard, vm)
+        _relieve_worker(shard, vm)
 
 
-def _see_one(
-    shard: state.State, entry: attempt.Attempt, task: tasks.Task, at: float
+def _record_task(
+    shard: state.ShardState, entry: attempt.Attempt, task: tasks.Task, at: float
 ) -> None:
     ended = attempt.classify(task) is not None
-    if entry.end is not None or (not ended and at < entry.acted_at):
+    if entry.result is not None or (not ended and at < entry.acted_at):
         return
     name = entry.job.name
     entry.seen = task
@@ -210,76 +214,78 @@
         max(entry.peak[0], task.used_cores),
         max(entry.peak[1], task.used_memory),
     )
-    stray = task.vm != entry.job.vm
-    if ended or stray or entry.job.state is S.STARTING or entry.job.paused:
-        shard.unsettled.add(name)
+    misplaced = task.vm != entry.job.vm
+    if ended or misplaced or entry.job.state is S.STARTING or entry.job.paused:
+        shard.unreconciled.add(name)
     if ended:
-        settle.learn(shard, entry, at)
+        reconciliation.record_result(shard, entry, at)
         return
-    settle.sample(shard, entry, at)
-    if settle.shrink(entry) is not None:
-        shard.unsettled.add(name)
-    if _want(shard, entry):
-        shard.pending.add(name)
+    reconciliation.sample_usage(shard, entry, at)
+    if reconciliation.reclaim_unused(entry) is not None:
+        shard.unreconciled.add(name)
+    if _find_action(shard, entry):
+        shard.pending_calls.add(name)
 
 
-def _relieve(shard: state.State, vm: str) -> None:
-    """Checkpoint or throttle bulk before it harms urgent work on its worker.
+def _relieve_worker(shard: state.ShardState, vm: str) -> None:
+    """Checkpoint or throttle bulk jobs before they harm urgent work on the worker.
 
-    Load: bulk that uses several times what it declared. Harm: the worker runs
-    out of memory and kills any task, or starves urgent work of cores. The job
-    furthest above its reservation gives way, one for each report.
+    A bulk job may use several times its declared size. The worker would then run
+    out of memory and kill any task, or starve urgent work of cores. Each usage
+    report checkpoints or throttles the job furthest above its reservation.
     """
-    known = shard.vms.get(vm)
+    worker = shard.vms.get(vm)
     entries = [shard.jobs[name] for name in sorted(shard.on_vm.get(vm, ()))]
-    alive = [entry for entry in entries if entry.is_alive and entry.job.holds]
+    alive = [
+        entry for entry in entries if entry.is_alive and entry.job.holds_reservation
+    ]
     bulk = [entry for entry in alive if not entry.job.is_urgent and not entry.pausing]
-    if known is None or not bulk:
+    if worker is None or not bulk:
         return
     memory = sum(entry.seen.used_memory for entry in alive)
-    if memory > MEMORY_SHARE * known.memory and len(alive) > 1:
+    if memory > MAX_MEMORY_SHARE * worker.memory and len(alive) > 1:
         worst = max(bulk, key=lambda e: e.seen.used_memory - e.job.memory)
         if worst.seen.used_memory > worst.job.memory:
             worst.pausing = True
             shard.counters["checkpoints"] += 1
-            shard.pending.add(worst.job.name)
+            shard.pending_calls.add(worst.job.name)
     cores = sum(entry.seen.used_cores for entry in alive)
-    if cores > CORES_SHARE * known.cores and len(bulk) < len(alive):
+    if cores > MAX_CORES_SHARE * worker.cores and len(bulk) < len(alive):
         worst = max(bulk, key=lambda e: e.seen.used_cores - e.job.cores)
         worst.throttle = True
         shard.counters["throttles"] += 1
-        shard.pending.add(worst.job.name)
-    elif cores < CALM_SHARE * known.cores:
+        shard.pending_calls.add(worst.job.name)
+    elif cores < RESUME_CORES_SHARE * worker.cores:
         for entry in bulk:
             if entry.throttle:
                 entry.throttle = False
-                shard.pending.add(entry.job.name)
+                shard.pending_calls.add(entry.job.name)
 
 
-def find_renewals(shard: state.State) -> list[str]:
-    """Return the tasks to renew: those listed alive, or not yet looked for.
+def find_renewals(shard: state.ShardState) -> list[str]:
+    """Return the tasks to renew: those listed alive, or not listed for yet.
 
-    A task that is not listed is not renewed, so that its lease is sure to
-    lapse; one that is to be stopped is not either.
+    A task that a list did not contain is not renewed, so that its lease lapses
+    with certainty. A task that is to be stopped is not renewed either.
     """
-    found = []
+    renewable = []
     for entry in shard.jobs.values():
         item = entry.job
         if item.state is not S.RUNNING or entry.evict or item.cancel:
             continue
-        if entry.is_alive or (entry.end is None and not entry.unlisted):
-            found.append(item.task)
-    return found
+        if entry.is_alive or (entry.result is None and not entry.unlisted):
+            renewable.append(item.task)
+    return renewable
 
 
 def record_renewal(
-    shard: state.State, renewed: Sequence[str], outcome: table.Outcome, now: float
+    shard: state.ShardState, renewed: Sequence[str], outcome: table.Outcome, now: float
 ) -> None:
-    """Take the outcome of a renewal of tasks."""
+    """Apply the outcome of a renewal of tasks."""
     for task in renewed:
         name, number = job.split_task(task)
         entry = shard.jobs.get(name)
         if entry is not None and entry.job.attempt == number:
             entry.touched = max(entry.touched, now)
             entry.sealed = entry.sealed or outcome is table.Outcome.DONE
-            shard.unsettled.add(name)
+            shard.unreconciled.add(name)
--- a/wigeonhitch/placement/retention.py
+++ b/wigeonhitch/placement/retention.py
@@ -1,28 +1,29 @@
-"""Deletes the rows of jobs that ended long ago, under the shard's duty."""
+"""Deletion of the rows of jobs that ended long ago, under the shard's duty."""
 
 from wigeonhitch.membership import lease
 from wigeonhitch.placement import job, ledger
 from wigeonhitch.platform import table
 
-__all__ = ["BATCH", "DAY", "RETENTION", "Retention"]
+__all__ = ["MAX_JOBS_PER_COMMIT", "DAY_SECONDS", "RETENTION_SECONDS", "Retention"]
 
 PURPOSE = "retention"
-DAY = ledger.DAY
-# Long enough for submitters to read an outcome after a week's holiday closing;
-# until then a repeated submission finds its job.
-RETENTION = 7 * DAY
-# Each look reads the markers of one day, so that none reads those of the days
-# that are still kept; all days of the last fortnight have their turn in 14 h.
-PERIOD = 3600.0
-LOOK_BACK = 14
-# A new holder has its live jobs to see to first.
-FIRST = 60.0
-# Jobs in one commit, one commit a step: placing goes on in between.
-BATCH = 100
+DAY_SECONDS = ledger.DAY_SECONDS
+# Long enough for submitters to read a result after a week of holidays; until then
+# a repeated submission finds its job.
+RETENTION_SECONDS = 7 * DAY_SECONDS
+# Each scan reads the markers of one day only, and never those of days within the
+# retention. One scan an hour covers the 14 days before that in 14 h.
+SCAN_PERIOD_SECONDS = 3600.0
+SCANNED_DAYS = 14
+# A new holder of the duty handles its live jobs first.
+FIRST_SCAN_DELAY_SECONDS = 60.0
+# Jobs deleted in one commit; there is one commit in each step, so that placement
+# continues in between.
+MAX_JOBS_PER_COMMIT = 100
 
 
 class Retention:
-    """Looks for ended jobs to delete, and deletes them batch by batch.
+    """Finds ended jobs beyond the retention and deletes them in batches.
 
     Parameters
     ----------
@@ -35,38 +36,42 @@
     def __init__(self, store: table.Table, shard: int):
         self._table = store
         self._shard = shard
-        self._due: float | None = None
+        self._next_scan: float | None = None
         self._markers: list[str] = []
 
     def is_due(self, now: float) -> bool:
-        """Whether there is anything to look for or to delete."""
-        if self._due is None:
-            self._due = now + FIRST
-        return bool(self._markers) or now >= self._due
+        """Return whether a scan or a deletion is due."""
+        if self._next_scan is None:
+            self._next_scan = now + FIRST_SCAN_DELAY_SECONDS
+        return bool(self._markers) or now >= self._next_scan
 
     async def sweep(self, held: lease.Lease, now: float) -> int:
-        """Look for ended jobs, or delete a batch; return how many were deleted.
+        """Scan for ended jobs, or delete a batch; return how many were deleted.
 
-        A commit that fails is left to a later look: deleting is never urgent.
+        After a failed commit a later scan finds the jobs again, as deletion is
+        never urgent.
         """
         if not self.is_due(now):
             return 0
         if not self._markers:
-            await self._look(now)
+            await self._scan_day(now)
             return 0
-        batch, self._markers = self._markers[:BATCH], self._markers[BATCH:]
+        batch, self._markers = (
+            self._markers[:MAX_JOBS_PER_COMMIT],
+            self._markers[MAX_JOBS_PER_COMMIT:],
+        )
         deleted = await self._delete(held, batch)
         if deleted is None:
             self._markers = []
         return deleted or 0
 
-    async def _look(self, now: float) -> None:
-        self._due = now + PERIOD
-        newest = int((now - RETENTION) // DAY) - 1
-        day = newest - int(now // PERIOD) % LOOK_BACK
-        prefix = f"{ledger.ENDED}{self._shard}/{day}/"
-        found = await self._table.scan(prefix, purpose=PURPOSE)
-        self._markers = [row.key for row in found.rows]
+    async def _scan_day(self, now: float) -> None:
+        self._next_scan = now + SCAN_PERIOD_SECONDS
+        newest_day = int((now - RETENTION_SECONDS) // DAY_SECONDS) - 1
+        day = newest_day - int(now // SCAN_PERIOD_SECONDS) % SCANNED_DAYS
+        prefix = f"{ledger.ENDED_PREFIX}{self._shard}/{day}/"
+        scanned = await self._table.scan(prefix, purpose=PURPOSE)
+        self._markers = [row.key for row in scanned.rows]
 
     async def _delete(self, held: lease.Lease, markers: list[str]) -> int | None:
         keys = [job.PREFIX + marker.split("/", 3)[3] for marker in markers]
--- a/wigeonhitch/placement/routes.py
+++ b/wigeonhitch/placement/routes.py
@@ -10,18 +10,20 @@
 __all__ = ["JobRoutes"]
 
 PURPOSE = "jobs"
-# Jobs cancelled by one request, and by one commit: a wave of thousands costs a
-# read and a few commits for each request instead of two calls for each job.
-CANCEL_REQUEST = 1000
-CANCEL_COMMIT = 100
-TRIES = 4
-LISTED = 1000
+# Limits on the jobs cancelled by one request and by one commit: cancelling thousands
+# costs one read and one commit for each 100 jobs instead of two calls for each job.
+MAX_CANCELS_PER_REQUEST = 1000
+MAX_CANCELS_PER_COMMIT = 100
+MAX_CANCEL_TRIES = 4
+MAX_LISTED_JOBS = 1000
 
 S = job.JobState
 DONE = table.Outcome.DONE
 UNKNOWN = table.Outcome.UNKNOWN
-BUSY = route.Answer(503, {"error": "not done, the table is unreachable"})
-UNSURE = route.Answer(504, {"error": "unknown whether done: repeat with the same id"})
+TABLE_UNREACHABLE = route.Answer(503, {"error": "not done, the table is unreachable"})
+OUTCOME_UNKNOWN = route.Answer(
+    504, {"error": "unknown whether done: repeat with the same id"}
+)
 
 
 class JobRoutes:
@@ -50,18 +52,18 @@
         ]
 
     async def submit(self, request: route.Request) -> route.Answer:
-        """Submit a job; a repeat with the same body finds the same job."""
+        """Submit a job; a repeat with the same body returns the same job."""
         asked = job.parse_submission(request.body)
         if isinstance(asked, str):
             return route.Answer(400, {"error": asked})
         key = f"{job.PREFIX}{asked.team}/{asked.id}"
         read = await self._table.read([key], purpose=PURPOSE)
         if read.outcome is not DONE:
-            return BUSY
+            return TABLE_UNREACHABLE
         if read.rows[0].value is not None:
-            return _compare(asked, read.rows[0])
+            return _answer_repeat(asked, read.rows[0])
         new = job.make_job(asked, read.time)
-        writes = [table.Write(key, job.encode(new)), *self._mark(new)]
+        writes = [table.Write(key, job.encode(new)), *self._make_signal_writes(new)]
         result = await self._table.commit(
             [table.Condition(key, 0)], writes, purpose=PURPOSE
         )
@@ -69,11 +71,13 @@
             return route.Answer(202, describe(new))
         for row in result.conflicts:
             if row.value is not None:
-                return _compare(asked, row)
-        return UNSURE if result.outcome is UNKNOWN else BUSY
+                return _answer_repeat(asked, row)
+        return OUTCOME_UNKNOWN if result.outcome is UNKNOWN else TABLE_UNREACHABLE
 
-    def _mark(self, item: job.Job, *, ended: bool = False) -> list[table.Write]:
-        """Return the writes that tell the shard of a job of its change."""
+    def _make_signal_writes(
+        self, item: job.Job, *, ended: bool = False
+    ) -> list[table.Write]:
+        """Return the writes that notify a job's shard of its change."""
         shard = view.find_shard(item.asked.pool, self._shards)
         value = None if ended else {}
         marker = table.Write(ledger.marker_key(shard, item.name), value)
@@ -88,25 +92,25 @@
         prefix = f"{job.PREFIX}{team}/" if team else job.PREFIX
         read = await self._table.scan(prefix, purpose=PURPOSE)
         if read.outcome is not DONE:
-            return BUSY
+            return TABLE_UNREACHABLE
         wanted = request.query.get("state", "")
         jobs = [job.decode(row.value) for row in read.rows if row.value is not None]
-        found = [item for item in jobs if wanted in ("", item.state.value)]
-        listed = [_summarize(item) for item in found[:LISTED]]
-        return route.Answer(200, {"jobs": listed, "count": len(found)})
+        matching = [item for item in jobs if wanted in ("", item.state.value)]
+        listed = [_summarize(item) for item in matching[:MAX_LISTED_JOBS]]
+        return route.Answer(200, {"jobs": listed, "count": len(matching)})
 
     async def show(self, request: route.Request) -> route.Answer:
-        """Show one job: where it stands, why it waits, and since when."""
+        """Show one job: its state, why it waits, and since when."""
         read = await self._read(request.path["team"], [request.path["job"]])
         if read.outcome is not DONE:
-            return BUSY
+            return TABLE_UNREACHABLE
         row = read.rows[0]
         if row.value is None:
             return route.Answer(404, {"error": f"no job {row.key!r}"})
         return route.Answer(200, describe(job.decode(row.value)))
 
     async def cancel(self, request: route.Request) -> route.Answer:
-        """Cancel one job: at once while queued, else by stopping its task."""
+        """Cancel one job: at once while queued, otherwise by stopping its task."""
         answer = await self._cancel(request.path["team"], [request.path["job"]])
         if answer.status != 200:
             return answer
@@ -119,9 +123,9 @@
     async def cancel_many(self, request: route.Request) -> route.Answer:
         """Cancel the jobs named in ``{"jobs": [...]}`` of one team."""
         names = request.body.get("jobs") if isinstance(request.body, dict) else None
-        good = isinstance(names, list) and all(isinstance(n, str) for n in names)
-        if not good or len(names) > CANCEL_REQUEST:
-            text = f"expected jobs: a list of at most {CANCEL_REQUEST} job ids"
+        is_valid = isinstance(names, list) and all(isinstance(n, str) for n in names)
+        if not is_valid or len(names) > MAX_CANCELS_PER_REQUEST:
+            text = f"expected jobs: a list of at most {MAX_CANCELS_PER_REQUEST} job ids"
             return route.Answer(400, {"error": text})
         return await self._cancel(request.path["team"], sorted(set(names)))
 
@@ -131,8 +135,8 @@
 
     async def _cancel(self, team: str, names: Sequence[str]) -> route.Answer:
         states: dict[str, str] = {}
-        for start in range(0, len(names), CANCEL_COMMIT):
-            chunk = names[start : start + CANCEL_COMMIT]
+        for start in range(0, len(names), MAX_CANCELS_PER_COMMIT):
+            chunk = names[start : start + MAX_CANCELS_PER_COMMIT]
             failure = await self._cancel_chunk(team, chunk, states)
             if failure is not None:
                 return route.Answer(failure.status, failure.body | {"jobs": states})
@@ -141,12 +145,12 @@
     async def _cancel_chunk(
         self, team: str, names: Sequence[str], states: dict[str, str]
     ) -> route.Answer | None:
-        """Cancel in one commit; tried again when a job moved meanwhile."""
+        """Cancel jobs in one commit; repeated when a row changed meanwhile."""
         result = table.CommitResult(table.Outcome.NOT_DONE)
-        for _ in range(TRIES):
+        for _ in range(MAX_CANCEL_TRIES):
             read = await self._read(team, names)
             if read.outcome is not DONE:
-                return BUSY
+                return TABLE_UNREACHABLE
             conditions, writes = [], []
             for name, row in zip(names, read.rows, strict=True):
                 states[name] = self._plan_cancel(row, read.time, conditions, writes)
@@ -159,7 +163,7 @@
                 break
         for name in names:
             states.pop(name, None)
-        return UNSURE if result.outcome is UNKNOWN else BUSY
+        return OUTCOME_UNKNOWN if result.outcome is UNKNOWN else TABLE_UNREACHABLE
 
     def _plan_cancel(
         self,
@@ -168,10 +172,10 @@
         conditions: list[table.Condition],
         writes: list[table.Write],
     ) -> str:
-        """Add what cancels a job; return the state that it then has.
+        """Append the writes that cancel a job; return its resulting state.
 
-        A queued job's attempt was never sent to the platform, so it can end
-        here; one that may have begun is ended by the holder of its shard.
+        The attempt of a queued job was never sent to the platform, so the job
+        can end here; one that may have begun is ended by the holder of its shard.
         """
         if row.value is None:
             return "unknown"
@@ -187,16 +191,16 @@
             new = item._replace(cancel=True)
         conditions.append(table.Condition(row.key, row.version))
         writes.append(table.Write(row.key, job.encode(new)))
-        writes.extend(self._mark(new, ended=queued))
+        writes.extend(self._make_signal_writes(new, ended=queued))
         return "cancelled" if queued else "stopping"
 
 
-def _compare(asked: job.Submission, row: table.Row) -> route.Answer:
-    present = job.decode(row.value)
-    if present.asked == asked:
-        return route.Answer(200, describe(present))
-    text = f"job {present.name} was submitted before with another body"
-    return route.Answer(409, {"error": text, "job": describe(present)})
+def _answer_repeat(asked: job.Submission, row: table.Row) -> route.Answer:
+    existing = job.decode(row.value)
+    if existing.asked == asked:
+        return route.Answer(200, describe(existing))
+    text = f"job {existing.name} was submitted before with another body"
+    return route.Answer(409, {"error": text, "job": describe(existing)})
 
 
 def _summarize(item: job.Job) -> dict[str, Any]:
@@ -211,14 +215,14 @@
 
 
 def describe(item: job.Job) -> dict[str, Any]:
-    """Return what operators see of a job."""
-    shown = job.encode(item)
-    shown["task"] = item.task if item.vm else ""
-    return shown | _summarize(item) | {"due": item.due}
+    """Return a job as body to operators."""
+    body = job.encode(item)
+    body["task"] = item.task if item.vm else ""
+    return body | _summarize(item) | {"due": item.due}
 
 
 def explain(item: job.Job) -> str:
-    """Return why a job stands where it stands."""
+    """Return the reason for a job's current state."""
     if item.reason:
         return item.reason
     if item.state is S.QUEUED:
