--- a/wigeonhitch/membership/transport.py
+++ b/wigeonhitch/membership/transport.py
@@ -141,7 +141,9 @@
             frame = codec.encode(self._registry, self._daemon, message)
         except Exception:
             self._instruments.count("peer_failed_total", "Messages that failed here.")
-            log.log_fault("cannot encode a peer message", kind=type(message).__name__)
+            log.log_exception(
+                "cannot encode a peer message", kind=type(message).__name__
+            )
             return
         self._instruments.count(
             "peer_sent_bytes_total", "Bytes to peers.", len(frame), purpose=purpose
@@ -233,7 +235,7 @@
             self._receive(received)
         except Exception:
             self._instruments.count("peer_failed_total", "Messages that failed here.")
-            log.log_fault("cannot process a peer message", peer=received.sender)
+            log.log_exception("cannot process a peer message", peer=received.sender)
 
     def _count_refused(self, problem: codec.Problem) -> None:
         self._instruments.count(
--- a/wigeonhitch/platform/entries.py
+++ b/wigeonhitch/platform/entries.py
@@ -1,8 +1,8 @@
-"""Decoding of what the operator and the workers write into the store.
+"""Decoding of the entries that operators and workers write into the store.
 
-An entry may come from another writer: fields missing or of another type, or
-bytes that can't be read. Such an entry is refused with a reason, and the
-others hold.
+An entry may come from a foreign writer: fields may be missing or of another
+type, and the bytes may not be JSON. Such an entry is rejected with a reason,
+and the other entries stay valid.
 """
 
 from typing import Any, NamedTuple
@@ -16,10 +16,10 @@
     "OPERATOR_TABLE",
     "STATUS_TABLE",
     "WORKER_TABLE",
-    "Bad",
+    "InvalidEntry",
     "WaveOrder",
     "WorkerEntry",
-    "name_wave",
+    "get_wave_key",
     "read_catalogue",
     "read_wave",
     "read_wave_number",
@@ -35,18 +35,19 @@
 WAVE_PREFIX = "wave/"
 
 
-class Bad(NamedTuple):
-    """An entry that can't be used, and why."""
+class InvalidEntry(NamedTuple):
+    """Key of an entry that can't be decoded, with the reason."""
 
     key: str
     reason: str
 
 
 class WorkerEntry(NamedTuple):
-    """A worker as it registers itself; one life of a VM.
+    """Registration of a worker, which is one instance of a VM.
 
-    ``clock`` is the worker's steady clock in seconds when it wrote; it may be
-    None. ``remaining`` is the least time in seconds that a leaving worker has.
+    ``clock`` is the worker's monotonic clock in seconds at the time of writing,
+    or None. ``remaining`` is the minimum time in seconds until a leaving worker
+    ends.
     """
 
     id: str
@@ -63,22 +64,22 @@
 class WaveOrder(NamedTuple):
     """An operator's order to maintain VMs, at most ``ceiling`` at once.
 
-    ``within`` is the time in seconds in which the wave should be through.
+    ``duration`` is the time in seconds in which the wave should complete.
     """
 
     number: int
     vms: tuple[str, ...]
-    within: float
+    duration: float
     ceiling: int
 
 
-def read_worker(key: str, value: bytes) -> WorkerEntry | Bad:
-    """Read a worker's entry."""
+def read_worker(key: str, value: bytes) -> WorkerEntry | InvalidEntry:
+    """Decode a worker's registration."""
     try:
         fields = orjson.loads(value)
         state = fields["state"]
         if state not in ("ready", "draining"):
-            return Bad(key, f"state {state!r}; expected ready or draining")
+            return InvalidEntry(key, f"state {state!r}; expected ready or draining")
         clock = fields.get("clock_ms")
         remaining = fields.get("remaining_ms")
         return WorkerEntry(
@@ -88,16 +89,16 @@
             _read_text(fields.get("zone", "")),
             state == "draining",
             read_room(fields["capacity"]),
-            tuple(_read_text(one) for one in fields.get("labels", ())),
+            tuple(_read_text(label) for label in fields.get("labels", ())),
             None if clock is None else float(clock) / 1000,
             None if remaining is None else float(remaining) / 1000,
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Bad(key, f"{type(error).__name__}: {error}")
+        return InvalidEntry(key, f"{type(error).__name__}: {error}")
 
 
 def read_room(fields: dict[str, Any]) -> model.Room:
-    """Read what a VM or a task has of processors, memory and accelerators."""
+    """Decode the CPU, memory and GPUs of a VM or a task."""
     return model.Room(
         int(fields.get("cpu", 0)),
         int(fields.get("mem_mb", 0)),
@@ -105,37 +106,37 @@
     )
 
 
-def read_catalogue(value: bytes) -> model.Catalogue | Bad:
-    """Read the operator's configuration."""
+def read_catalogue(value: bytes) -> model.Catalogue | InvalidEntry:
+    """Decode the operators' configuration."""
     try:
         fields = orjson.loads(value)
         limits = fields.get("limits") or {}
         return model.Catalogue(
             int(fields["version"]),
-            tuple(_read_queue(one) for one in fields["routes"]),
-            tuple(_read_pool(one) for one in fields["services"]),
+            tuple(_read_queue(route) for route in fields["routes"]),
+            tuple(_read_pool(service) for service in fields["services"]),
             int(limits.get("body_bytes", 262144)),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Bad(CATALOGUE_KEY, f"{type(error).__name__}: {error}")
+        return InvalidEntry(CATALOGUE_KEY, f"{type(error).__name__}: {error}")
 
 
-def read_wave(key: str, value: bytes) -> WaveOrder | Bad:
-    """Read an order of a wave."""
+def read_wave(key: str, value: bytes) -> WaveOrder | InvalidEntry:
+    """Decode the order of a maintenance wave."""
     try:
         fields = orjson.loads(value)
         return WaveOrder(
             int(fields["wave"]),
-            tuple(_read_text(one) for one in fields["machines"]),
+            tuple(_read_text(vm) for vm in fields["machines"]),
             float(fields["duration_s"]),
             max(1, int(fields["ceiling"])),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Bad(key, f"{type(error).__name__}: {error}")
+        return InvalidEntry(key, f"{type(error).__name__}: {error}")
 
 
 def write_wave_status(completed: bool) -> bytes:
-    """Return what operators read of a wave."""
+    """Encode the status of a wave for operators."""
     return orjson.dumps({"state": "completed" if completed else "running"})
 
 
@@ -147,13 +148,13 @@
         return False
 
 
-def name_wave(number: int) -> str:
+def get_wave_key(number: int) -> str:
     """Return the key of a wave's row."""
     return f"{WAVE_PREFIX}{number}"
 
 
 def read_wave_number(key: str) -> int | None:
-    """Return the number in the key of a wave's row, if it is one."""
+    """Return the number in the key of a wave's row, None for any other key."""
     prefix, _, number = key.rpartition("/")
     return int(number) if prefix == "wave" and number.isdigit() else None
 
--- a/wigeonhitch/platform/node.py
+++ b/wigeonhitch/platform/node.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays beside each process."""
+"""The settings file that the platform provides to each process."""
 
 import pathlib
 from typing import NamedTuple
@@ -6,7 +6,7 @@
 __all__ = [
     "NODE_FILE_VARIABLE",
     "Bounds",
-    "Checked",
+    "CheckResult",
     "NodeSettings",
     "StoreRates",
     "check",
@@ -19,80 +19,81 @@
 
 
 class Bounds(NamedTuple):
-    """Times that the users' rules set, in seconds."""
+    """Time limits of the platform's rules, in seconds."""
 
-    grace: float
-    """From SIGTERM to SIGKILL."""
-    touch: float
-    """After the end of a disturbance until time bounds hold again."""
+    termination_grace: float
+    """Time between SIGTERM and SIGKILL."""
+    recovery: float
+    """Time after the end of a disturbance until time limits apply again."""
     longest_lease: float
     """Longest lease that a worker grants."""
     stop_grace: float
-    """Longest time that stopping a task takes."""
+    """Maximum time that stopping a task takes."""
     order_gap: float
-    """Two daemons don't order about one VM within this time."""
+    """Minimum time between the orders of two daemons about one VM."""
     gang_wait: float
-    notice: float
-    """A lasting task away for longer counts as away for any cause."""
-    finals_kept: float
-    """How long a final job can still be asked for."""
-    move: float
-    upkeep: float
-    configuration: float = 2.0
-    """From the acknowledgement of a configuration until it has to be in force."""
+    max_absence: float
+    """A lasting task that is down for longer counts as down, whatever the cause."""
+    final_retention: float
+    """Time for which the state of a final job is kept for queries."""
+    move_seconds: float
+    maintenance_seconds: float
+    configuration_deadline: float = 2.0
+    """Maximum time from accepting a configuration until it is in force."""
 
 
 class StoreRates(NamedTuple):
-    """Calls a second that all daemons together may make."""
+    """Limits of the store: calls per second of all daemons together, row size."""
 
     writes: float
     reads: float
     row_bytes: int
-    across: bool = True
-    """Whether a transaction may go across parts."""
+    has_cross_part_transactions: bool = True
+    """Whether a transaction may span several parts."""
 
 
 class NodeSettings(NamedTuple):
-    """What a process learns of itself and of its surroundings."""
+    """Identity, addresses and limits of a process."""
 
     name: str
     data_centre: str
     ip: str
     callers: str
-    """Address that callers' connections arrive at."""
+    """Listen address for callers."""
     ready: str
-    """Address that the balancer asks for readiness."""
+    """Listen address for the load balancer's readiness checks."""
     store: str
+    """Address of the row store."""
     fleet: str
-    """Address of the calls on machines."""
+    """Address of the API for VMs."""
     advice: str
     """Address of the advice service; may be empty."""
-    entry_period: float
-    """Seconds between two writings of a worker's entry."""
+    entry_interval: float
+    """Seconds between two writes of a worker's entry."""
     bounds: Bounds
     rates: StoreRates
     cores: float = 1.0
-    """Processors that the process may use."""
+    """CPU cores that the process may use."""
     orders_per_second: float = 64.0
-    """Orders about VMs that the platform takes from all daemons together."""
+    """VM orders per second that the platform accepts from all daemons together."""
 
 
-class Checked(NamedTuple):
-    """Settings as far as they could be read, and every problem."""
+class CheckResult(NamedTuple):
+    """Settings as far as they are valid, and every problem."""
 
     settings: NodeSettings
     problems: tuple[str, ...]
 
 
 def load(path: str | pathlib.Path) -> NodeSettings:
-    """Read the file.
+    """Load the settings file.
 
     Raises
     ------
     OSError
         If the file can't be read.
     ValueError
-        If a needed key is missing or isn't a number; every fault is named.
+        If a required key is missing or a value is invalid; lists all problems.
     """
     checked = check(pathlib.Path(path).read_text(encoding="utf-8"))
     if checked.problems:
@@ -101,13 +102,13 @@
 
 
 def is_node_file(text: str) -> bool:
-    """Whether a text has the form of this file and not of YAML."""
+    """Return whether a text has the format of this file rather than YAML."""
     lines = [line for line in text.splitlines() if line.strip()]
     return bool(lines) and all("=" in line.partition(":")[0] for line in lines)
 
 
-def check(text: str) -> Checked:
-    """Read the text of the file; every problem is named."""
+def check(text: str) -> CheckResult:
+    """Parse the text of the file and list every problem."""
     reader = _Reader(_split(text))
     settings = NodeSettings(
         name=reader.text("node_name"),
@@ -118,19 +119,20 @@
         store=reader.text("platform.address"),
         fleet=reader.text("cloud_api.address", ""),
         advice=reader.text("hint", ""),
-        entry_period=reader.number("heartbeat_ms", 1500) / 1000,
+        entry_interval=reader.number("heartbeat_ms", 1500) / 1000,
         bounds=Bounds(
-            grace=reader.number("parameters.grace_s", 6),
-            touch=reader.number("parameters.contact_ms", 3000) / 1000,
+            termination_grace=reader.number("parameters.grace_s", 6),
+            recovery=reader.number("parameters.contact_ms", 3000) / 1000,
             longest_lease=reader.number("parameters.hold_max_ms", 10000) / 1000,
             stop_grace=reader.number("parameters.kill_grace_ms", 1000) / 1000,
             order_gap=reader.number("parameters.lease_ms", 3000) / 1000,
             gang_wait=reader.number("parameters.gang_wait_ms", 3000) / 1000,
-            notice=reader.number("parameters.notice_ms", 4500) / 1000,
-            finals_kept=reader.number("parameters.status_s", 120),
-            move=reader.number("parameters.migrate_s", 1.5),
-            upkeep=reader.number("parameters.maintenance_s", 2),
-            configuration=reader.number("parameters.config_apply_ms", 2000) / 1000,
+            max_absence=reader.number("parameters.notice_ms", 4500) / 1000,
+            final_retention=reader.number("parameters.status_s", 120),
+            move_seconds=reader.number("parameters.migrate_s", 1.5),
+            maintenance_seconds=reader.number("parameters.maintenance_s", 2),
+            configuration_deadline=reader.number("parameters.config_apply_ms", 2000)
+            / 1000,
         ),
         rates=StoreRates(
             reader.number("platform.writes_per_s", 800),
@@ -138,14 +140,14 @@
             int(reader.number("platform.row_bytes", 65536)),
             reader.flag("platform.across", True),
         ),
-        cores=max(LEAST_CORES, _read_cores(reader)),
+        cores=max(MIN_CORES, _read_cores(reader)),
         orders_per_second=reader.number("cloud_api.duty_per_s", 64.0),
     )
-    return Checked(settings, tuple(reader.problems))
+    return CheckResult(settings, tuple(reader.problems))
 
 
-LEAST_CORES = 0.01
-"""Processors that a process has at least; keeps shares of them finite."""
+MIN_CORES = 0.01
+"""Lower bound of the cores of a process; keeps divisions by it finite."""
 
 
 def _read_cores(reader: "_Reader") -> float:
@@ -154,7 +156,7 @@
 
 
 class _Reader:
-    """Takes fields and remembers every fault."""
+    """Reads typed fields and collects every problem."""
 
     def __init__(self, fields: dict[str, str]) -> None:
         self._fields = fields
@@ -186,4 +188,4 @@
 
 def _split(text: str) -> dict[str, str]:
     pairs = (line.partition("=") for line in text.splitlines())
-    return {key.strip(): value.strip() for key, mark, value in pairs if mark}
+    return {key.strip(): value.strip() for key, separator, value in pairs if separator}
