--- a/wigeonhitch/wire/tests/test_codec.py
+++ b/wigeonhitch/wire/tests/test_codec.py
@@ -75,7 +75,7 @@
 
 
 def test_every_slot_message_has_a_field():
-    assert set(slots.FIELDS) == set(typing.get_args(peer.Message))
+    assert set(slots.FIELD_NAMES) == set(typing.get_args(peer.Message))
 
 
 def test_slot_messages_keep_their_order():
