--- a/standins/platformclaimant.py
+++ b/standins/platformclaimant.py
@@ -40,11 +40,14 @@
                 await self._use(key, result.claim)
             elif result.answer is not None:
                 print("replayed", key, result.answer.body.decode(), flush=True)
-            elif result.told is not None:
+            elif result.caller_verdict is not None:
                 print(
-                    "told", result.told.ran.value, result.told.reason.value, flush=True
+                    "told",
+                    result.caller_verdict.ran.value,
+                    result.caller_verdict.reason.value,
+                    flush=True,
                 )
-                refused = result.told.ran is verdict.Ran.NO
+                refused = result.caller_verdict.ran is verdict.Ran.NO
                 await anyio.sleep(0.1 if refused else 0.01)
 
     async def _use(self, key: str, claim: store.Claim) -> None:
--- a/standins/soak/vmfleet.py
+++ b/standins/soak/vmfleet.py
@@ -291,7 +291,7 @@
         body = {"clock_ms": int(worker.read_clock(http.read_clock()) * 1000)}
         if verdict is workers.Verdict.DONE:
             return store.Answer(200, body)
-        reasons = {value: text for text, value in workers.REASONS.items()}
+        reasons = {value: text for text, value in workers.VERDICTS_BY_REASON.items()}
         return store.Answer(409, {**body, "reason": reasons[verdict]})
 
 
--- a/wigeonhitch/front/guard.py
+++ b/wigeonhitch/front/guard.py
@@ -55,7 +55,9 @@
             )
             hop.span.set_attribute("claim", acquired.kind.value)
         if acquired.kind is not decision.Kind.GRANTED:
-            return dispatcher.FinalAnswer(acquired.told, _to_reply(acquired.answer))
+            return dispatcher.FinalAnswer(
+                acquired.caller_verdict, _to_reply(acquired.answer)
+            )
         claim = acquired.claim
         try:
             final = await self._dispatch.serve(
