--- a/standins/demo/traffic.py
+++ b/standins/demo/traffic.py
@@ -178,7 +178,7 @@
         return list(self.outcomes)
 
     def wait_for(self, count: int, matching: Callable[[Outcome], bool]) -> None:
-        """Wait until ``count`` more outcomes match; bounded by `ANSWER_LIMIT`."""
+        """Wait until ``count`` more outcomes match, up to `ANSWER_TIMEOUT_SECONDS`."""
         before = len(self.outcomes)
         deadline = time.monotonic() + ANSWER_TIMEOUT_SECONDS
         while (
--- a/standins/soak/caller.py
+++ b/standins/soak/caller.py
@@ -86,7 +86,7 @@
 
     Attributes
     ----------
-    jobs : list of Sent
+    jobs : list of SubmittedJob
     calls : list of Call
     """
 
