--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -36,7 +36,7 @@
 def _measure_waits(
     load: float, case: str, policy: link.Policy, seed: int
 ) -> tuple[float, ...]:
-    loop = routing_loop.Loop(seed=seed, policy=policy)
+    loop = routing_loop.EventLoop(seed=seed, policy=policy)
     size = [0]
 
     def weigh(tell: action.SendMessages) -> None:
@@ -44,16 +44,20 @@
 
     loop.on_message = weigh
     if case == "slow":
-        loop.workers["vm0"].factor = 4.0
-    factors = [worker.factor for worker in loop.workers.values()]
+        loop.workers["vm0"].slowdown = 4.0
+    factors = [worker.slowdown for worker in loop.workers.values()]
     rate = load * sum(8 / factor for factor in factors) / 0.05
     weights = [5.0, 3.0] + [1.0] * 7 if case == "skew" else None
-    loop.offer(rate, 0.0, LENGTH, weights=weights)
+    loop.offer_load(rate, 0.0, LENGTH, weights=weights)
     loop.run(LENGTH + 40.0)
     arrivals = loop.list_arrivals()
-    plain = routing_waits.find_bound(arrivals, factors, 0.0, 8)
-    turn = routing_waits.find_bound(arrivals, factors, 2 * routing_loop.HOP, 8)
-    waits = [done.wait for done in loop.done.values() if done.began is not None]
+    plain = routing_waits.compute_ideal_waits(arrivals, factors, 0.0, 8)
+    turn = routing_waits.compute_ideal_waits(
+        arrivals, factors, 2 * routing_loop.HOP_SECONDS, 8
+    )
+    waits = [
+        done.wait for done in loop.completed.values() if done.started_at is not None
+    ]
     requests = len(arrivals)
     return (
         1e3 * routing_waits.quantile(waits, 0.99),
@@ -83,24 +87,24 @@
 
 
 def _measure_fault(fault: str, policy: link.Policy, seed: int) -> float:
-    loop = routing_loop.Loop(seed=seed, policy=policy)
+    loop = routing_loop.EventLoop(seed=seed, policy=policy)
     owner = loop.find_owner()
     weights = [0.0 if name == owner else 1.0 for name in loop.names]
-    loop.offer(0.9 * SLOTS / 0.05, 0.0, LENGTH, weights=weights)
+    loop.offer_load(0.9 * SLOTS / 0.05, 0.0, LENGTH, weights=weights)
     if fault == "kill":
-        loop.at(5.0, loop.kill, owner)
+        loop.call_at(5.0, loop.kill, owner)
     elif fault == "pause":
-        loop.at(5.0, loop.pause, owner)
-        loop.at(10.0, loop.resume, owner)
+        loop.call_at(5.0, loop.pause, owner)
+        loop.call_at(10.0, loop.resume, owner)
     elif fault == "cut":
-        loop.at(5.0, loop.cut.add, owner)
-        loop.at(10.0, loop.cut.discard, owner)
+        loop.call_at(5.0, loop.partitioned.add, owner)
+        loop.call_at(10.0, loop.partitioned.discard, owner)
     loop.run(LENGTH + 40.0)
     return 1e3 * routing_waits.quantile(
         [
             done.wait
-            for done in loop.done.values()
-            if done.began is not None and 5.0 <= done.arrived < 10.0
+            for done in loop.completed.values()
+            if done.started_at is not None and 5.0 <= done.arrived_at < 10.0
         ],
         0.99,
     )
@@ -118,28 +122,30 @@
 
 
 def _measure_overload(policy: link.Policy, load: float) -> None:
-    loop = routing_loop.Loop(policy=policy)
+    loop = routing_loop.EventLoop(policy=policy)
     classes = (event.Urgency("urgent", 1.7), event.Urgency("bulk", 3600.0))
     for name in loop.names:
-        loop.give(name, event.UrgenciesChanged(classes))
+        loop.deliver(name, event.UrgenciesChanged(classes))
     rate = load * SLOTS / 0.05
-    loop.offer(0.2 * rate, 0.0, LENGTH, within=2.0)
-    bulk = {"urgency": "bulk", "team": "closing", "within": 5.0}
-    loop.offer(0.8 * rate, 0.0, LENGTH, **bulk)
+    loop.offer_load(0.2 * rate, 0.0, LENGTH, timeout=2.0)
+    bulk = {"urgency": "bulk", "team": "closing", "timeout": 5.0}
+    loop.offer_load(0.8 * rate, 0.0, LENGTH, **bulk)
     loop.run(LENGTH)
-    busy = sum(worker.busy for worker in loop.workers.values()) / (SLOTS * LENGTH)
+    busy = sum(worker.busy_seconds for worker in loop.workers.values()) / (
+        SLOTS * LENGTH
+    )
     good = sum(
-        loop.work_of(number)
-        for number, done in loop.done.items()
+        loop.get_work(number)
+        for number, done in loop.completed.items()
         if done.verdict.ran.name == "YES"
     ) / (SLOTS * LENGTH)
     loop.run(LENGTH + 20.0)
-    urgent = [done for done in loop.done.values() if done.urgency == "urgent"]
+    urgent = [done for done in loop.completed.values() if done.urgency == "urgent"]
     good_urgent = [done for done in urgent if done.verdict.ran.name == "YES"]
-    times = [done.answered - done.arrived for done in good_urgent]
+    times = [done.answered_at - done.arrived_at for done in good_urgent]
     refused = [
-        done.answered - done.arrived
-        for done in loop.done.values()
+        done.answered_at - done.arrived_at
+        for done in loop.completed.values()
         if done.verdict.ran.name == "NO"
     ]
     print(
--- a/benchmarks/routing_loop.py
+++ b/benchmarks/routing_loop.py
@@ -14,28 +14,28 @@
 from wigeonhitch import verdict
 from wigeonhitch.routing import action, core, event, link, rendezvous
 
-__all__ = ["HOP", "Done", "Loop", "Worker", "draw_work"]
+__all__ = ["HOP_SECONDS", "CompletedRequest", "EventLoop", "Worker", "draw_work"]
 
 # Seconds one way between any two processes.
-HOP = 0.001
+HOP_SECONDS = 0.001
 
 POOL = "lookup"
 
 
-class Done(NamedTuple):
+class CompletedRequest(NamedTuple):
     """The final answer of one request, and when its work began (None: never)."""
 
-    arrived: float
-    answered: float
+    arrived_at: float
+    answered_at: float
     verdict: verdict.Verdict
-    began: float | None
+    started_at: float | None
     urgency: str
     team: str
 
     @property
     def wait(self) -> float:
         """Seconds between arrival and the start of work, less the one way."""
-        return self.began - self.arrived - HOP
+        return self.started_at - self.arrived_at - HOP_SECONDS
 
 
 class Worker:
@@ -44,14 +44,14 @@
     def __init__(self, vm: str, slots: int = 8) -> None:
         self.vm = vm
         self.slots = slots
-        self.factor = 1.0
+        self.slowdown = 1.0
         self.mode = "ok"
         self.running = 0
-        self.busy = 0.0
-        self.begun: list[float] = []
+        self.busy_seconds = 0.0
+        self.start_times: list[float] = []
 
 
-class Loop:
+class EventLoop:
     """Daemons, workers and callers of one pool.
 
     Parameters
@@ -76,8 +76,8 @@
         self.names = list(self.cores)
         self.paused: dict[str, list[event.Event]] = {}
         self.killed: set[str] = set()
-        self.cut: set[str] = set()
-        self.done: dict[int, Done] = {}
+        self.partitioned: set[str] = set()
+        self.completed: dict[int, CompletedRequest] = {}
         self.runs: collections.Counter[int] = collections.Counter()
         self.counts: collections.Counter[str] = collections.Counter()
         self.on_message: Callable[[action.SendMessages], None] | None = None
@@ -87,7 +87,7 @@
         self._ticks: dict[str, float] = {}
         self._arrivals: dict[int, tuple[event.Arrived, float, str]] = {}
         self._work: dict[int, float] = {}
-        self._began: dict[int, float] = {}
+        self._started_at: dict[int, float] = {}
         self._open: dict[tuple[str, int], tuple[action.Send, float]] = {}
         self._running: dict[tuple[str, int], Worker] = {}
         self.set_members(self.names)
@@ -95,7 +95,7 @@
 
     # The world around the daemons.
 
-    def at(self, when: float, do: Callable, *args: Any) -> None:
+    def call_at(self, when: float, do: Callable, *args: Any) -> None:
         """Call ``do`` at a time."""
         self._count += 1
         heapq.heappush(self._heap, (when, self._count, do, args))
@@ -110,7 +110,7 @@
     def set_members(self, members: list[str]) -> None:
         """Let all living daemons see these members."""
         for name in self.cores:
-            self.give(name, event.MembersChanged(frozenset(members)))
+            self.deliver(name, event.MembersChanged(frozenset(members)))
 
     def set_view(
         self,
@@ -124,13 +124,13 @@
             for worker in self.workers.values()
         )
         for name in names or self.names:
-            self.give(name, event.ViewChanged(revision, {POOL: view}))
+            self.deliver(name, event.ViewChanged(revision, {POOL: view}))
 
-    def arrive(
+    def submit(
         self,
         daemon: str,
         work: float,
-        within: float = 60.0,
+        timeout: float = 60.0,
         urgency: str = "urgent",
         team: str = "clerks",
         idempotent: bool = False,
@@ -138,14 +138,14 @@
         """Let a request arrive at a daemon now; returns its number."""
         number = len(self._arrivals) + 1
         arrival = event.Arrived(
-            number, "s", POOL, urgency, team, self.now + within, idempotent
+            number, "s", POOL, urgency, team, self.now + timeout, idempotent
         )
         self._arrivals[number] = (arrival, self.now, daemon)
         self._work[number] = work
-        self.give(daemon, arrival)
+        self.deliver(daemon, arrival)
         return number
 
-    def offer(
+    def offer_load(
         self,
         rate: float,
         start: float,
@@ -163,18 +163,18 @@
             chances = None
             if weights is not None:
                 chances = [weights[self.names.index(name)] for name in names]
-            self.arrive(rng.choices(names, chances)[0], work(rng), **kind)
+            self.submit(rng.choices(names, chances)[0], work(rng), **kind)
             when = self.now + rng.expovariate(rate)
             if when < end:
-                self.at(when, arrive_next)
+                self.call_at(when, arrive_next)
 
-        self.at(start + rng.expovariate(rate), arrive_next)
+        self.call_at(start + rng.expovariate(rate), arrive_next)
 
     def count_arrived(self) -> int:
         """Return how many requests have arrived."""
         return len(self._arrivals)
 
-    def work_of(self, number: int) -> float:
+    def get_work(self, number: int) -> float:
         """Return the seconds of work of a request."""
         return self._work[number]
 
@@ -193,7 +193,7 @@
     def resume(self, daemon: str) -> None:
         """Let a daemon go on."""
         for what in self.paused.pop(daemon):
-            self.give(daemon, what)
+            self.deliver(daemon, what)
 
     def find_owner(self) -> str:
         """Return the daemon that counts the slots."""
@@ -201,7 +201,7 @@
 
     # Daemons.
 
-    def give(self, daemon: str, what: event.Event) -> None:
+    def deliver(self, daemon: str, what: event.Event) -> None:
         """Give an event to a daemon and do what it says."""
         if daemon in self.killed:
             return
@@ -216,24 +216,24 @@
         when = self.cores[daemon].next_timer()
         if when is not None and self._ticks.get(daemon, when + 1.0) != when:
             self._ticks[daemon] = when
-            self.at(max(when, self.now), self._tick, daemon, when)
+            self.call_at(max(when, self.now), self._tick, daemon, when)
 
     def _tick(self, daemon: str, when: float) -> None:
         if self._ticks.get(daemon) == when:
             del self._ticks[daemon]
             if daemon in self.paused:
-                self.at(self.now + 0.01, self._tick, daemon, when)
+                self.call_at(self.now + 0.01, self._tick, daemon, when)
                 self._ticks[daemon] = when
                 return
-            self.give(daemon, event.Tick())
+            self.deliver(daemon, event.Tick())
 
     def _do(self, daemon: str, act: action.Action) -> None:
         if isinstance(act, action.Send):
             self.counts["sends"] += 1
             self._open[(daemon, act.attempt)] = (act, self.now)
-            self.at(self.now + HOP, self._reach, daemon, act)
+            self.call_at(self.now + HOP_SECONDS, self._reach, daemon, act)
             late = verdict.may_have_run(verdict.Reason.TIMEOUT)
-            self.at(self.now + act.timeout, self._abort, daemon, act.attempt, late)
+            self.call_at(self.now + act.timeout, self._abort, daemon, act.attempt, late)
         elif isinstance(act, action.Answer):
             self._answer(act)
         elif isinstance(act, action.Abort):
@@ -244,16 +244,16 @@
             self.counts["messages"] += len(act.messages)
             if self.on_message is not None:
                 self.on_message(act)
-            if daemon not in self.cut and act.daemon not in self.cut:
+            if daemon not in self.partitioned and act.daemon not in self.partitioned:
                 what = event.Received(daemon, act.messages)
-                self.at(self.now + HOP, self.give, act.daemon, what)
+                self.call_at(self.now + HOP_SECONDS, self.deliver, act.daemon, what)
 
     def _answer(self, act: action.Answer) -> None:
-        assert act.request not in self.done, "answered twice"
-        arrival, arrived, _ = self._arrivals[act.request]
-        began = self._began.get(act.request)
-        self.done[act.request] = Done(
-            arrived, self.now, act.verdict, began, arrival.urgency, arrival.team
+        assert act.request not in self.completed, "answered twice"
+        arrival, arrived_at, _ = self._arrivals[act.request]
+        started_at = self._started_at.get(act.request)
+        self.completed[act.request] = CompletedRequest(
+            arrived_at, self.now, act.verdict, started_at, arrival.urgency, arrival.team
         )
 
     def _end(
@@ -270,7 +270,7 @@
             what = event.AttemptEnded(
                 send.request, send.attempt, result, seconds, failed
             )
-            self.give(daemon, what)
+            self.deliver(daemon, what)
 
     # Workers.
 
@@ -283,14 +283,16 @@
         if worker is not None and worker.mode != "frozen":
             del self._running[daemon, attempt]
             worker.running -= 1
-        self.at(self.now + HOP, self._end, daemon, opened[0], result, False)
+        self.call_at(
+            self.now + HOP_SECONDS, self._end, daemon, opened[0], result, False
+        )
 
     def _reach(self, daemon: str, send: action.Send) -> None:
         worker = self.workers[send.vm]
-        back = self.now + HOP
+        back = self.now + HOP_SECONDS
         if worker.mode == "down":
             result = verdict.not_run(verdict.Reason.NOT_CONNECTED)
-            self.at(back, self._end, daemon, send, result, False)
+            self.call_at(back, self._end, daemon, send, result, False)
             return
         if worker.mode == "refuse" or worker.running >= worker.slots:
             self.counts["refusals"] += 1
@@ -298,26 +300,28 @@
                 other.running < other.slots for other in self.workers.values()
             )
             result = verdict.not_run(verdict.Reason.WORKER_REFUSED)
-            self.at(back, self._end, daemon, send, result, False)
+            self.call_at(back, self._end, daemon, send, result, False)
             return
         self.runs[send.request] += 1
-        self._began[send.request] = self.now
-        worker.begun.append(self.now)
+        self._started_at[send.request] = self.now
+        worker.start_times.append(self.now)
         if worker.mode == "fail":
-            self.at(back, self._end, daemon, send, verdict.ran(), True)
+            self.call_at(back, self._end, daemon, send, verdict.ran(), True)
             return
         worker.running += 1
         self._running[daemon, send.attempt] = worker
         if worker.mode == "ok":
-            seconds = self._work[send.request] * worker.factor
-            worker.busy += seconds
-            self.at(self.now + seconds, self._complete, worker, daemon, send)
+            seconds = self._work[send.request] * worker.slowdown
+            worker.busy_seconds += seconds
+            self.call_at(self.now + seconds, self._complete, worker, daemon, send)
 
     def _complete(self, worker: Worker, daemon: str, send: action.Send) -> None:
         if self._running.pop((daemon, send.attempt), None) is None:
             return
         worker.running -= 1
-        self.at(self.now + HOP, self._end, daemon, send, verdict.ran(), False)
+        self.call_at(
+            self.now + HOP_SECONDS, self._end, daemon, send, verdict.ran(), False
+        )
 
 
 def draw_work(rng: random.Random) -> float:
--- a/benchmarks/routing_waits.py
+++ b/benchmarks/routing_waits.py
@@ -2,7 +2,7 @@
 
 import heapq
 
-__all__ = ["find_bound", "quantile"]
+__all__ = ["compute_ideal_waits", "quantile"]
 
 
 def quantile(values: list[float], share: float) -> float:
@@ -13,8 +13,11 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def find_bound(
-    arrivals: list[tuple[float, float]], factors: list[float], turn: float, slots: int
+def compute_ideal_waits(
+    arrivals: list[tuple[float, float]],
+    factors: list[float],
+    turnaround: float,
+    slots: int,
 ) -> list[float]:
     """Return the waits of one queue that sees every slot, without delays.
 
@@ -24,7 +27,7 @@
         Time and work of each request, in order.
     factors : list of float
         How many times slower each worker is.
-    turn : float
+    turnaround : float
         Seconds that a slot is idle between two requests: 0 for the plain
         bound, two ways for workers that hold no queue of their own.
     slots : int
@@ -46,5 +49,5 @@
             chosen = heapq.heappop(free)
         begin = max(when, chosen[0])
         waits.append(begin - when)
-        heapq.heappush(free, (begin + work * chosen[1] + turn, chosen[1]))
+        heapq.heappush(free, (begin + work * chosen[1] + turnaround, chosen[1]))
     return waits
--- a/wigeonhitch/routing/tests/conftest.py
+++ b/wigeonhitch/routing/tests/conftest.py
@@ -6,4 +6,4 @@
 @pytest.fixture
 def loop():
     """Nine daemons and six workers of eight slots; the owner counts the slots."""
-    return routing_loop.Loop()
+    return routing_loop.EventLoop()
