--- a/wigeonhitch/command/client.py
+++ b/wigeonhitch/command/client.py
@@ -1,8 +1,8 @@
 """Requests of the command line to the daemons' operator interface.
 
-A request goes to the first daemon named. Another one is tried only if the
-first certainly did nothing, or if the request may safely be made twice (it
-only reads, or it carries a submission id).
+A request goes to the first daemon in the list. The next one is tried only if
+the first certainly did nothing, or if the request is idempotent (it only reads,
+or it carries a submission id).
 """
 
 import contextlib
@@ -14,32 +14,32 @@
 import anyio
 import httpx
 
-__all__ = ["Client", "Connection", "Lost", "Reply", "open_client"]
+__all__ = ["Client", "Connection", "RequestFailure", "Reply", "open_client"]
 
 PREFIX = "/operator/v1"
 
-# Seconds. A daemon answers within its store's time limits, some ten seconds
-# with repeats; past that the answer is taken as lost.
-CONNECT_TIMEOUT = 3.0
-ANSWER_TIMEOUT = 15.0
+# A daemon answers within the timeouts of its store, about 10 s with retries;
+# after that the response counts as lost.
+CONNECT_TIMEOUT_SECONDS = 3.0
+RESPONSE_TIMEOUT_SECONDS = 15.0
 
-# Seconds after which no further daemon is asked. A platform that hangs holds up
-# every daemon alike: asking nine of them in turn would keep an operator waiting
-# for over two minutes, only to hear "unknown" again.
-ASKING_LIMIT = 20.0
+# Time after which no further daemon is tried. A platform that hangs blocks every
+# daemon: trying nine of them in turn would take more than two minutes, and the
+# outcome would still be unknown.
+FAILOVER_LIMIT_SECONDS = 20.0
 
-# Failures before anything was sent.
-NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+# Errors raised before any part of the request was sent.
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
-# How the TLS library names a certificate that is not trusted.
-REFUSED_TRUST = "CERTIFICATE_VERIFY_FAILED"
+# Marks an untrusted certificate in the error text of the TLS library.
+UNTRUSTED_CERTIFICATE = "CERTIFICATE_VERIFY_FAILED"
 
-STORE_DOWN = 503
+STORE_UNAVAILABLE = 503
 OUTCOME_UNKNOWN = 504
 
 
-class Lost(enum.Enum):
-    """Why there is no answer."""
+class RequestFailure(enum.Enum):
+    """Why there is no response."""
 
     NOT_SENT = "no daemon could be reached; nothing was done"
     UNTRUSTED = (
@@ -50,7 +50,7 @@
 
 
 class Reply(NamedTuple):
-    """Answer of a daemon: status code, decoded body and which daemon."""
+    """Response of a daemon: status code, decoded body and the daemon's URL."""
 
     status: int
     body: Any
@@ -58,7 +58,7 @@
 
 
 class Connection(NamedTuple):
-    """How to reach the daemons and as whom.
+    """Addresses of the daemons and the operator's credentials.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
 
 
 class Client:
-    """Makes requests of one operator."""
+    """Sends the requests of one operator."""
 
     def __init__(self, daemons: tuple[str, ...], http: httpx.AsyncClient) -> None:
         self.daemons = daemons
@@ -87,18 +87,18 @@
 
     async def get(
         self, path: str, query: Mapping[str, str] | None = None
-    ) -> Reply | Lost:
-        """Read; any daemon will do, and a lost answer has changed nothing."""
-        reply = await self.ask("GET", path, query=query, repeatable=True)
-        return Lost.NOT_READ if reply is Lost.NO_ANSWER else reply
+    ) -> Reply | RequestFailure:
+        """Send a read request, which has no effect even if its response is lost."""
+        reply = await self.request("GET", path, query=query, repeatable=True)
+        return RequestFailure.NOT_READ if reply is RequestFailure.NO_ANSWER else reply
 
     async def post(
         self, path: str, body: Any = None, *, repeatable: bool = False
-    ) -> Reply | Lost:
-        """Change something; ``repeatable`` when twice does the same as once."""
-        return await self.ask("POST", path, body, repeatable=repeatable)
+    ) -> Reply | RequestFailure:
+        """Send a modifying request; ``repeatable`` if it is idempotent."""
+        return await self.request("POST", path, body, repeatable=repeatable)
 
-    async def ask(
+    async def request(
         self,
         method: str,
         path: str,
@@ -106,61 +106,72 @@
         *,
         query: Mapping[str, str] | None = None,
         repeatable: bool = False,
-    ) -> Reply | Lost:
-        """Ask the daemons in turn until one settles the request.
+    ) -> Reply | RequestFailure:
+        """Send a request to the daemons in turn until its outcome is known.
 
-        A later daemon that says "not done" does not settle a request whose
-        answer an earlier one lost: that one may have done it.
+        "Not done" from a later daemon doesn't make the outcome known if the
+        response of an earlier one was lost: that daemon may have done it.
         """
-        last: Reply | Lost = Lost.NOT_SENT
-        lost = False
-        began = anyio.current_time()
+        last_reply: Reply | RequestFailure = RequestFailure.NOT_SENT
+        outcome_unknown = False
+        started_at = anyio.current_time()
         for daemon in self.daemons:
-            if lost and anyio.current_time() - began > ASKING_LIMIT:
+            if (
+                outcome_unknown
+                and anyio.current_time() - started_at > FAILOVER_LIMIT_SECONDS
+            ):
                 break
-            reply = await self.ask_one(daemon, method, path, body, query)
-            if reply in (Lost.NOT_SENT, Lost.UNTRUSTED):
-                last = reply if last is Lost.NOT_SENT else last
+            reply = await self.request_once(daemon, method, path, body, query)
+            if reply in (RequestFailure.NOT_SENT, RequestFailure.UNTRUSTED):
+                last_reply = (
+                    reply if last_reply is RequestFailure.NOT_SENT else last_reply
+                )
                 continue
-            unsettled = reply is Lost.NO_ANSWER or reply.status == OUTCOME_UNKNOWN
-            if not unsettled and reply.status != STORE_DOWN:
+            is_unknown = (
+                reply is RequestFailure.NO_ANSWER or reply.status == OUTCOME_UNKNOWN
+            )
+            if not is_unknown and reply.status != STORE_UNAVAILABLE:
                 return reply
-            lost = lost or unsettled
-            if not lost or unsettled:
-                last = reply
-            if unsettled and not repeatable:
+            outcome_unknown = outcome_unknown or is_unknown
+            if not outcome_unknown or is_unknown:
+                last_reply = reply
+            if is_unknown and not repeatable:
                 return reply
-        return last
+        return last_reply
 
-    async def ask_one(
+    async def request_once(
         self,
         daemon: str,
         method: str,
         path: str,
         body: Any,
         query: Mapping[str, str] | None,
-    ) -> Reply | Lost:
-        """Ask one daemon once."""
+    ) -> Reply | RequestFailure:
+        """Send a request to one daemon, without retry."""
         url = f"{daemon.rstrip('/')}{PREFIX}{path}"
         try:
-            answer = await self.http.request(method, url, json=body, params=query)
-        except NOT_SENT as error:
-            return Lost.UNTRUSTED if REFUSED_TRUST in str(error) else Lost.NOT_SENT
+            response = await self.http.request(method, url, json=body, params=query)
+        except NOT_SENT_ERRORS as error:
+            return (
+                RequestFailure.UNTRUSTED
+                if UNTRUSTED_CERTIFICATE in str(error)
+                else RequestFailure.NOT_SENT
+            )
         except httpx.HTTPError:
-            return Lost.NO_ANSWER
+            return RequestFailure.NO_ANSWER
         try:
-            decoded = answer.json()
+            decoded = response.json()
         except ValueError:
-            decoded = {"reason": answer.text[:200]}
-        return Reply(answer.status_code, decoded, daemon)
+            decoded = {"reason": response.text[:200]}
+        return Reply(response.status_code, decoded, daemon)
 
 
 @contextlib.asynccontextmanager
 async def open_client(connection: Connection) -> AsyncIterator[Client]:
-    """Open a client; leaving the context closes its connections."""
+    """Open a client whose connections are closed on exit from the context."""
     credential = f"Bearer {connection.operator}:{connection.secret}"
     headers = {"Authorization": credential.encode("utf-8")}
-    timeout = httpx.Timeout(ANSWER_TIMEOUT, connect=CONNECT_TIMEOUT)
+    timeout = httpx.Timeout(RESPONSE_TIMEOUT_SECONDS, connect=CONNECT_TIMEOUT_SECONDS)
     verify: ssl.SSLContext | bool = True
     if connection.cafile or connection.certfile:
         verify = ssl.create_default_context(cafile=connection.cafile or None)
--- a/wigeonhitch/command/documents.py
+++ b/wigeonhitch/command/documents.py
@@ -1,6 +1,6 @@
 """Commands of the group ``document``."""
 
-import json as codec
+import json
 import pathlib
 import uuid
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 def read_file(file: str) -> check.Checked:
-    """Return the checked document of a file."""
+    """Read a document from a file and validate it."""
     try:
         text = pathlib.Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -29,8 +29,8 @@
 
 
 def report_problems(checked: check.Checked) -> report.Report:
-    """Return the report of a document that is refused."""
-    lines = [problem.format_problem(one) for one in checked.problems]
+    """Return the report of an invalid document."""
+    lines = [problem.format_problem(invalid) for invalid in checked.problems]
     body = {"status": "INVALID", "problems": lines}
     return report.Report(report.Exit.REFUSED, body, tuple(lines))
 
@@ -38,7 +38,7 @@
 async def print_schema() -> report.Report:
     """Print the JSON Schema of the fleet document."""
     body = schema.build_schema()
-    lines = codec.dumps(body, indent=2).splitlines()
+    lines = json.dumps(body, indent=2).splitlines()
     return report.Report(report.Exit.DONE, body, tuple(lines))
 
 
@@ -70,7 +70,7 @@
     if checked.intended is None:
         return report_problems(checked)
     reply = await asking.get("/document")
-    code = report.find_exit(reply)
+    code = report.get_exit_code(reply)
     before: document.Document | None = None
     version = 0
     if code is report.Exit.DONE:
@@ -81,11 +81,11 @@
     changes = difference.compare(before, checked.intended)
     needs = approval.find_needs(before, checked.intended)
     lines = [difference.format_change(change) for change in changes]
-    asked = [f"{n.approvals} of {' or '.join(n.roles)} for {n.change}" for n in needs]
-    shown = [f"against version {version}:", *(lines or ["no change"])]
-    shown += [f"needs approval: {one}" for one in asked]
-    body = {"base": version, "changes": lines, "needs": asked}
-    return report.Report(report.Exit.DONE, body, tuple(shown))
+    needed = [f"{n.approvals} of {' or '.join(n.roles)} for {n.change}" for n in needs]
+    lines_shown = [f"against version {version}:", *(lines or ["no change"])]
+    lines_shown += [f"needs approval: {need}" for need in needed]
+    body = {"base": version, "changes": lines, "needs": needed}
+    return report.Report(report.Exit.DONE, body, tuple(lines_shown))
 
 
 async def submit(
@@ -130,17 +130,17 @@
 
 
 def report_result(
-    reply: client.Reply | client.Lost, submission: str, again: str
+    reply: client.Reply | client.RequestFailure, submission: str, again: str
 ) -> report.Report:
-    """Return the report of a request about a proposal."""
-    if isinstance(reply, client.Lost):
+    """Return the report of the response to a request about a proposal."""
+    if isinstance(reply, client.RequestFailure):
         return report.report_reply(reply, again=again)
     status = reply.body.get("status")
-    found = report.report_reply(reply, again=again)
-    code = report.EXITS_BY_STATUS.get(status, found.exit)
-    if status == "REJECTED" and found.exit is report.Exit.DONE:
+    reply_report = report.report_reply(reply, again=again)
+    code = report.EXITS_BY_STATUS.get(status, reply_report.exit)
+    if status == "REJECTED" and reply_report.exit is report.Exit.DONE:
         code = report.Exit.DONE
-    lines = list(found.lines)
+    lines = list(reply_report.lines)
     if status in ("ACCEPTED", "UNCHANGED"):
         lines = [f"{reply.body['reason']}: version {reply.body['version']}"]
     elif status in ("WAITING", "REJECTED"):
@@ -148,7 +148,7 @@
         known = reply.body.get("proposal") or {}
         lines.append(f"hash {known.get('hash', '')}")
         if status == "WAITING":
-            lines += [f"needs approval: {one}" for one in known.get("missing", ())]
+            lines += [f"needs approval: {need}" for need in known.get("missing", ())]
     return report.Report(code, reply.body, tuple(lines))
 
 
@@ -168,7 +168,7 @@
     content = hash
     if not content:
         shown = await asking.get(f"/proposals/{proposal}")
-        if report.find_exit(shown) is not report.Exit.DONE:
+        if report.get_exit_code(shown) is not report.Exit.DONE:
             return report.report_reply(shown)
         content = shown.body["hash"]
     path = f"/proposals/{proposal}/approve"
@@ -209,14 +209,14 @@
     else:
         query = {"version": str(version)} if version else None
         reply = await asking.get("/document", query)
-    if report.find_exit(reply) is not report.Exit.DONE:
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
     body = reply.body
     if proposal:
-        lines = text.draw({key: body[key] for key in body if key != "document"})
+        lines = text.format_body({key: body[key] for key in body if key != "document"})
         return report.Report(report.Exit.DONE, body, tuple(lines))
     lines = [f"version {body['version']}", f"hash {body['hash']}"]
-    lines += codec.dumps(body["document"], indent=2).splitlines()
+    lines += json.dumps(body["document"], indent=2).splitlines()
     return report.Report(report.Exit.DONE, body, tuple(lines))
 
 
@@ -229,7 +229,7 @@
         How many at most.
     """
     reply = await asking.get("/history", {"limit": str(limit)})
-    if report.find_exit(reply) is not report.Exit.DONE:
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
     rows = [
         (
@@ -237,14 +237,14 @@
             row["base"],
             row["hash"][:12],
             row["author"],
-            ",".join(one["operator"] for one in row["given"]) or "-",
+            ",".join(entry["operator"] for entry in row["given"]) or "-",
             text.format_time(row["accepted"]),
             row["note"],
         )
         for row in reply.body["versions"]
     ]
     headers = ("VERSION", "BASE", "HASH", "AUTHOR", "APPROVED BY", "ACCEPTED", "NOTE")
-    return report.report_reply(reply, report.draw_table(headers, rows))
+    return report.report_reply(reply, report.format_table(headers, rows))
 
 
 async def list_proposals(asking: client.Client, *, state: str = "") -> report.Report:
@@ -256,7 +256,7 @@
         Only those waiting, lapsed, accepted or rejected.
     """
     reply = await asking.get("/proposals", {"state": state} if state else None)
-    if report.find_exit(reply) is not report.Exit.DONE:
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
     headers = ("SUBMISSION", "STATE", "BASE", "HASH", "AUTHOR", "SUBMITTED", "MISSING")
     rows = [
@@ -271,7 +271,7 @@
         )
         for one in reply.body["proposals"]
     ]
-    return report.report_reply(reply, report.draw_table(headers, rows))
+    return report.report_reply(reply, report.format_table(headers, rows))
 
 
 GROUP = {
--- a/wigeonhitch/command/fleet.py
+++ b/wigeonhitch/command/fleet.py
@@ -10,28 +10,32 @@
 
 __all__ = ["POOLS", "STATUS", "WAVES"]
 
-# Seconds between two looks at a running wave; a VM takes minutes.
-WATCH_PERIOD = 2.0
-FINISHED = ("done", "aborted")
+# Interval between polls of a running wave; a VM takes minutes.
+WATCH_PERIOD_SECONDS = 2.0
+FINAL_STATUSES = ("done", "aborted")
 
-UNCHECKED = (
+UNVERIFIED_NOTE = (
     "UP is what the table and the VM list say; `pool show` asks the workers too."
 )
 
 
-def report_body(reply: client.Reply | client.Lost, again: str = "") -> report.Report:
-    """Return the report of an answer whose body is shown whole."""
-    lines = [] if isinstance(reply, client.Lost) else text.draw(reply.body)
+def report_body(
+    reply: client.Reply | client.RequestFailure, again: str = ""
+) -> report.Report:
+    """Return the report of a response whose whole body is shown."""
+    lines = (
+        [] if isinstance(reply, client.RequestFailure) else text.format_body(reply.body)
+    )
     return report.report_reply(reply, lines, again)
 
 
 async def list_pools(asking: client.Client) -> report.Report:
     """List the pools with their budget and what is up now."""
     reply = await asking.get("/pools")
-    if report.find_exit(reply) is not report.Exit.DONE:
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
     rows = [pool | {"up": len(pool["up"])} for pool in reply.body["pools"]]
-    lines = [*text.draw(rows), UNCHECKED]
+    lines = [*text.format_body(rows), UNVERIFIED_NOTE]
     return report.report_reply(reply, lines)
 
 
@@ -49,9 +53,11 @@
 async def list_waves(asking: client.Client) -> report.Report:
     """List the waves."""
     reply = await asking.get("/waves")
-    if report.find_exit(reply) is not report.Exit.DONE:
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
-    return report.report_reply(reply, text.draw(reply.body["waves"]) or ["no wave"])
+    return report.report_reply(
+        reply, text.format_body(reply.body["waves"]) or ["no wave"]
+    )
 
 
 async def show_wave(asking: client.Client, wave: str) -> report.Report:
@@ -128,7 +134,7 @@
 
 
 async def watch_wave(
-    asking: client.Client, wave: str, *, period: float = WATCH_PERIOD
+    asking: client.Client, wave: str, *, period: float = WATCH_PERIOD_SECONDS
 ) -> report.Report:
     """Show a wave's progress until it is done or aborted.
 
@@ -141,40 +147,40 @@
     period : float
         Seconds between two looks.
     """
-    shown = ""
+    last_line = ""
     while True:
         reply = await asking.get(f"/waves/{wave}")
-        code = report.find_exit(reply)
+        code = report.get_exit_code(reply)
         if code in (report.Exit.REFUSED, report.Exit.NOT_FOUND, report.Exit.FAILED):
             return report_body(reply)
         if code is report.Exit.DONE:
             line = format_progress(reply.body)
-            if reply.body.get("status") in FINISHED:
+            if reply.body.get("status") in FINAL_STATUSES:
                 return report_wave(reply)
         else:
-            # A wave goes on without its watcher; an outage is waited out.
+            # The wave continues while no daemon answers, so polling continues too.
             line = f"{wave}: no answer, trying again"
-        if line != shown:
+        if line != last_line:
             print(line, file=sys.stderr, flush=True)
-            shown = line
+            last_line = line
         await anyio.sleep(period)
 
 
-def report_wave(reply: client.Reply | client.Lost) -> report.Report:
-    """Return the report of a wave: why it waits first, then its VMs."""
-    if report.find_exit(reply) is not report.Exit.DONE:
+def report_wave(reply: client.Reply | client.RequestFailure) -> report.Report:
+    """Return the report of a wave: what it waits for, then its VMs."""
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
     body = dict(reply.body)
     vms = body.pop("vms", [])
     body["done"] = count_done(reply.body)
-    lines = text.draw(body)
+    lines = text.format_body(body)
     if vms:
-        lines += ["vms:", *text.draw(vms, "  ")]
+        lines += ["vms:", *text.format_body(vms, "  ")]
     return report.report_reply(reply, lines)
 
 
 def count_done(body: Mapping[str, Any]) -> str:
-    """Return how many VMs a wave has finished with, of how many."""
+    """Return the number of completed VMs of a wave and the total, as text."""
     vms = body.get("vms", [])
     total = len(vms) if isinstance(vms, list) else vms
     done = body.get("done", 0)
@@ -193,17 +199,17 @@
     parts = [f"{body.get('wave')}: {body.get('status')}, {count_done(body)} done"]
     for key in ("active", "down"):
         if body.get(key):
-            parts[0] += f", {key} {text.shorten(body[key])}"
-    for one in body.get("waiting", ()):
-        since = text.format_time(one["since"])
-        parts.append(f"{one['what']}: {one['why']} (since {since})")
+            parts[0] += f", {key} {text.format_value(body[key])}"
+    for item in body.get("waiting", ()):
+        since = text.format_time(item["since"])
+        parts.append(f"{item['what']}: {item['why']} (since {since})")
     return "; ".join(parts)
 
 
 async def show_status(asking: client.Client) -> report.Report:
     """Show the daemons, the version in force and what is under way."""
     reply = await asking.get("/status")
-    if report.find_exit(reply) is not report.Exit.DONE:
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
     body = dict(reply.body)
     alive = set(body.pop("alive", ()))
@@ -212,7 +218,7 @@
         {"daemon": name, "alive": name in alive, **listed.get(name, {})}
         for name in sorted(alive | set(listed))
     ]
-    lines = [*text.draw(body), "daemons:", *text.draw(rows, "  ")]
+    lines = [*text.format_body(body), "daemons:", *text.format_body(rows, "  ")]
     return report.report_reply(reply, lines)
 
 
--- a/wigeonhitch/command/jobs.py
+++ b/wigeonhitch/command/jobs.py
@@ -35,10 +35,10 @@
         Only this team's.
     """
     reply = await asking.get("/jobs", {"team": team} if team else None)
-    if report.find_exit(reply) is not report.Exit.DONE:
+    if report.get_exit_code(reply) is not report.Exit.DONE:
         return report.report_reply(reply)
     jobs, count = reply.body["jobs"], reply.body["count"]
-    lines = text.draw(jobs) if jobs else ["no job"]
+    lines = text.format_body(jobs) if jobs else ["no job"]
     if count > len(jobs):
         lines.append(f"{len(jobs)} of {count} shown; name a team with --team")
     return report.report_reply(reply, lines)
--- a/wigeonhitch/command/local.py
+++ b/wigeonhitch/command/local.py
@@ -11,8 +11,8 @@
 
 __all__ = ["GROUP"]
 
-# Shorter secrets are refused: they can be found by trying.
-SHORTEST_SECRET = 12
+# In characters. Shorter secrets are refused: they can be guessed by brute force.
+MIN_SECRET_LENGTH = 12
 
 
 async def check(file: str) -> report.Report:
@@ -63,19 +63,19 @@
         Roles, separated by commas; ``viewer`` alone may change nothing.
     """
     secret = os.environ.get("WIGEONHITCH_SECRET") or getpass.getpass("Secret: ")
-    if len(secret) < SHORTEST_SECRET:
-        expected = f"at least {SHORTEST_SECRET} characters"
+    if len(secret) < MIN_SECRET_LENGTH:
+        expected = f"at least {MIN_SECRET_LENGTH} characters"
         raise options.UsageError(
             f"secret: {len(secret)} characters: expected {expected}"
         )
     if ":" in name or not name:
         raise options.UsageError(f"name {name!r}: expected text without a colon")
-    split = tuple(role.strip() for role in roles.split(",") if role.strip())
-    if not split:
+    role_names = tuple(role.strip() for role in roles.split(",") if role.strip())
+    if not role_names:
         raise options.UsageError("roles: expected at least one")
-    entry = credential.make_operator(name, split, secret)
+    entry = credential.make_operator(name, role_names, secret)
     body = entry._asdict() | {"roles": list(entry.roles)}
-    # A JSON object is also a YAML list entry, ready to paste.
+    # JSON is valid YAML, so the line can be pasted into the settings as it is.
     return report.Report(report.Exit.DONE, body, (f"- {json.dumps(body)}",))
 
 
--- a/wigeonhitch/command/main.py
+++ b/wigeonhitch/command/main.py
@@ -33,12 +33,12 @@
     arguments : sequence of str
         Command line without the program's name; from the process by default.
     """
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    if not given or (len(given) == 1 and isinstance(COMMANDS.get(given[0]), dict)):
-        given.append("--help")
+    argv = list(sys.argv[1:] if arguments is None else arguments)
+    if not argv or (len(argv) == 1 and isinstance(COMMANDS.get(argv[0]), dict)):
+        argv.append("--help")
     return defopt.run(
         COMMANDS,
-        argv=given,
+        argv=argv,
         short={},
         no_negated_flags=True,
         version=False,
--- a/wigeonhitch/command/options.py
+++ b/wigeonhitch/command/options.py
@@ -1,6 +1,6 @@
-"""Options that all commands share, added to each command's own.
+"""Options common to all commands, added to the options of each command.
 
-A command is an async function. `remote` gives it a client of the daemons as
+A command is an async function. `remote` passes it a client of the daemons as
 its first argument, `local` does not; both run it, print its report and return
 its exit code.
 """
@@ -19,10 +19,10 @@
 
 __all__ = ["UsageError", "local", "read_connection", "remote"]
 
-SHARED = {
+SHARED_OPTIONS = {
     "json": (bool, False, "Print JSON for programs in place of text."),
 }
-CONNECTION = {
+CONNECTION_OPTIONS = {
     "daemon": (
         str,
         "",
@@ -41,7 +41,7 @@
 
 
 class UsageError(Exception):
-    """The command was called wrongly; the text says how to call it."""
+    """Invalid command line; the message says what is expected."""
 
 
 Command = Callable[..., Awaitable[report.Report]]
@@ -53,7 +53,7 @@
     async def run(shared: Mapping[str, Any], own: Mapping[str, Any]) -> report.Report:
         return await command(**own)
 
-    return extend(command, run, SHARED, 0)
+    return extend(command, run, SHARED_OPTIONS, 0)
 
 
 def remote(command: Command) -> Callable[..., int]:
@@ -61,10 +61,10 @@
 
     async def run(shared: Mapping[str, Any], own: Mapping[str, Any]) -> report.Report:
         connection = read_connection(shared, os.environ)
-        async with client.open_client(connection) as opened:
-            return await command(opened, **own)
+        async with client.open_client(connection) as connected:
+            return await command(connected, **own)
 
-    return extend(command, run, SHARED | CONNECTION, 1)
+    return extend(command, run, SHARED_OPTIONS | CONNECTION_OPTIONS, 1)
 
 
 def extend(
@@ -73,36 +73,36 @@
     options: Mapping[str, tuple[type, Any, str]],
     skipped: int,
 ) -> Callable[..., int]:
-    """Return a plain function with the shared options in its signature.
+    """Return a synchronous function with the shared options in its signature.
 
-    The command-line library reads signature, annotations and docstring, so
-    the shared options are written into all three.
+    defopt reads the signature, the annotations and the docstring, so the shared
+    options are added to all three.
     """
     own = list(inspect.signature(command).parameters.values())[skipped:]
     added = [
         inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, default=value)
         for name, (_, value, _) in options.items()
     ]
-    whole = inspect.Signature(own + added)
+    signature = inspect.Signature(own + added)
 
     def call(*positional: Any, **named: Any) -> int:
-        bound = whole.bind(*positional, **named)
+        bound = signature.bind(*positional, **named)
         bound.apply_defaults()
-        given = bound.arguments
-        shared = {name: given.pop(name) for name in options}
+        own_arguments = bound.arguments
+        shared = {name: own_arguments.pop(name) for name in options}
         try:
-            found = anyio.run(run, shared, given)
+            result = anyio.run(run, shared, own_arguments)
         except UsageError as error:
             print(f"wigeonhitch: {error}", file=sys.stderr)
             return int(report.Exit.USAGE)
-        report.show(found, shared["json"])
-        return int(found.exit)
+        report.print_report(result, shared["json"])
+        return int(result.exit)
 
     hints = typing.get_type_hints(command)
     call.__name__ = command.__name__
     call.__module__ = command.__module__
     call.__doc__ = describe(command, options)
-    call.__signature__ = whole
+    call.__signature__ = signature
     call.__annotations__ = {parameter.name: hints[parameter.name] for parameter in own}
     call.__annotations__ |= {name: kind for name, (kind, _, _) in options.items()}
     return call
@@ -121,18 +121,18 @@
 def read_connection(
     given: Mapping[str, str], environment: Mapping[str, str]
 ) -> client.Connection:
-    """Return how to reach the daemons, from options and environment.
+    """Return the connection settings from options and environment variables.
 
     Raises
     ------
     UsageError
-        If no daemon, operator or secret is named.
+        If the daemon, the operator or the secret is missing.
     """
     daemons = given["daemon"] or environment.get("WIGEONHITCH_DAEMON", "")
-    named = tuple(url.strip() for url in daemons.split(",") if url.strip())
-    if not named:
+    urls = tuple(url.strip() for url in daemons.split(",") if url.strip())
+    if not urls:
         raise UsageError("name a daemon: --daemon URL or WIGEONHITCH_DAEMON")
-    for url in named:
+    for url in urls:
         if not url.startswith(("http://", "https://")):
             raise UsageError(f"daemon {url!r}: expected http:// or https://")
     operator = given["operator"] or environment.get("WIGEONHITCH_OPERATOR", "")
@@ -143,11 +143,11 @@
     for file in filter(None, files):
         if not pathlib.Path(file).is_file():
             raise UsageError(f"file {file}: expected a PEM file")
-    return client.Connection(named, operator, secret, *files)
+    return client.Connection(urls, operator, secret, *files)
 
 
 def read_secret(file: str, environment: Mapping[str, str]) -> str:
-    """Return the operator's secret; never taken from the command line itself."""
+    """Return the operator's secret, which is never a command-line argument."""
     path = file or environment.get("WIGEONHITCH_SECRET_FILE", "")
     if path:
         try:
--- a/wigeonhitch/command/report.py
+++ b/wigeonhitch/command/report.py
@@ -1,4 +1,4 @@
-"""What a command prints and the code it exits with."""
+"""Output and exit codes of commands."""
 
 import enum
 import json
@@ -7,11 +7,18 @@
 
 from wigeonhitch.command import client
 
-__all__ = ["Exit", "Report", "draw_table", "find_exit", "report_reply", "show"]
+__all__ = [
+    "Exit",
+    "Report",
+    "format_table",
+    "get_exit_code",
+    "report_reply",
+    "print_report",
+]
 
 
 class Exit(enum.IntEnum):
-    """Exit codes; stable, for programs."""
+    """Exit codes, stable for scripts."""
 
     DONE = 0
     FAILED = 1
@@ -34,7 +41,7 @@
     body : object
         What ``--json`` prints.
     lines : tuple of str
-        What people see.
+        Text output.
     """
 
     exit: Exit
@@ -42,7 +49,7 @@
     lines: tuple[str, ...] = ()
 
 
-EXITS = {
+EXITS_BY_HTTP_STATUS = {
     200: Exit.DONE,
     202: Exit.DONE,
     400: Exit.REFUSED,
@@ -57,7 +64,8 @@
     504: Exit.UNKNOWN,
 }
 
-# Results of document requests whose code says more than the status code.
+# Statuses of document requests that determine the exit code in place of the
+# HTTP status.
 EXITS_BY_STATUS = {
     "WAITING": Exit.WAITING,
     "REJECTED": Exit.REFUSED,
@@ -65,60 +73,60 @@
 }
 
 
-def find_exit(reply: client.Reply | client.Lost) -> Exit:
-    """Return the exit code that an answer, or its lack, stands for."""
-    if reply is client.Lost.NO_ANSWER:
+def get_exit_code(reply: client.Reply | client.RequestFailure) -> Exit:
+    """Return the exit code for a response or a request failure."""
+    if reply is client.RequestFailure.NO_ANSWER:
         return Exit.UNKNOWN
-    if isinstance(reply, client.Lost):
+    if isinstance(reply, client.RequestFailure):
         return Exit.UNREACHABLE
-    return EXITS.get(reply.status, Exit.FAILED)
+    return EXITS_BY_HTTP_STATUS.get(reply.status, Exit.FAILED)
 
 
 def report_reply(
-    reply: client.Reply | client.Lost,
+    reply: client.Reply | client.RequestFailure,
     lines: Iterable[str] = (),
     again: str = "",
 ) -> Report:
-    """Return the report of an answer.
+    """Return the report of a response or a request failure.
 
     Parameters
     ----------
-    reply : Reply or Lost
-        The answer.
+    reply : Reply or RequestFailure
+        The response or the failure.
     lines : iterable of str
-        What people see when it was done.
+        Text output if the request succeeded.
     again : str
-        How to ask again safely, shown when the outcome is unknown.
+        How to retry safely, shown when the outcome is unknown.
     """
-    code = find_exit(reply)
-    if isinstance(reply, client.Lost):
+    code = get_exit_code(reply)
+    if isinstance(reply, client.RequestFailure):
         body: Any = {"status": code.name, "reason": reply.value}
     else:
         body = reply.body
     if code is Exit.DONE:
         return Report(code, body, tuple(lines))
-    explained = list(explain(body))
+    error_lines = list(format_error(body))
     if code is Exit.UNKNOWN and again:
-        explained.append(f"To ask again safely: {again}")
-    return Report(code, body, tuple(explained))
+        error_lines.append(f"To ask again safely: {again}")
+    return Report(code, body, tuple(error_lines))
 
 
-def explain(body: Any) -> Iterable[str]:
-    """Return the reason and problems that an error body names."""
+def format_error(body: Any) -> Iterable[str]:
+    """Return the lines for the reason and the problems in an error body."""
     if not isinstance(body, Mapping):
         return [str(body)]
-    found = body.get("reason") or body.get("error") or body.get("status", "failed")
-    lines = str(found).splitlines()
+    reason = body.get("reason") or body.get("error") or body.get("status", "failed")
+    lines = str(reason).splitlines()
     lines += [f"  {problem}" for problem in body.get("problems", ())]
     return lines
 
 
-def draw_table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> list[str]:
+def format_table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> list[str]:
     """Return the lines of a table.
 
     Examples
     --------
-    >>> draw_table(("POOL", "UP"), [("match", 6)])
+    >>> format_table(("POOL", "UP"), [("match", 6)])
     ['POOL   UP', 'match  6']
     """
     cells = [[str(cell) for cell in row] for row in (headers, *rows)]
@@ -126,7 +134,7 @@
     return ["  ".join(map(str.ljust, row, widths)).rstrip() for row in cells]
 
 
-def show(report: Report, as_json: bool) -> None:
+def print_report(report: Report, as_json: bool) -> None:
     """Print a report to standard output."""
     if as_json:
         print(json.dumps(report.body, indent=2))
--- a/wigeonhitch/command/story.py
+++ b/wigeonhitch/command/story.py
@@ -1,4 +1,4 @@
-"""The command ``explain``: one request's story from the log lines of daemons."""
+"""The command ``explain``: the history of one job from the logs of daemons."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 
 __all__ = ["COMMAND", "Line", "find_story", "read_lines"]
 
-ABOUT_POOL = (
+POOL_CHANGES = (
     "claim answered",
     "leadership claimed",
     "leadership lost",
@@ -23,13 +23,13 @@
     "commit of ends back",
     "commit of ends conflicts",
 )
-"""Changes of a pool that bear on each job that it holds meanwhile."""
+"""Log texts of pool events that affect every job in the pool at the time."""
 
-HIDDEN = {"time", "level", "change", "daemon", "job"}
+HIDDEN_FIELDS = {"time", "level", "change", "daemon", "job"}
 
 
 class Line(NamedTuple):
-    """One log line; ``time`` as written, which sorts by text."""
+    """One log line; ``time`` is the logged text, whose order is chronological."""
 
     time: str
     daemon: str
@@ -51,7 +51,7 @@
         Files with log lines of daemons; standard input when there are none.
     """
     try:
-        lines = list(read_lines(_open_all(files)))
+        lines = list(read_lines(_read_texts(files)))
     except OSError as error:
         raise options.UsageError(str(error)) from error
     story = find_story(lines, id)
@@ -59,11 +59,11 @@
         body = {"status": "NOT_FOUND", "reason": f"no line names the job {id!r}"}
         return report.Report(report.Exit.NOT_FOUND, body, (body["reason"],))
     shown = [line._asdict() for line in story]
-    return report.Report(report.Exit.DONE, shown, tuple(map(_draw, story)))
+    return report.Report(report.Exit.DONE, shown, tuple(map(_format_line, story)))
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Read log lines; what stands before the JSON is left out.
+    """Parse log lines; any text before the JSON object is ignored.
 
     Examples
     --------
@@ -71,11 +71,11 @@
     ['start']
     """
     for text in texts:
-        begin = text.find("{")
-        if begin < 0:
+        start = text.find("{")
+        if start < 0:
             continue
         try:
-            fields = json.loads(text[begin:])
+            fields = json.loads(text[start:])
         except ValueError:
             continue
         if isinstance(fields, dict) and "change" in fields:
@@ -84,7 +84,7 @@
 
 
 def find_story(lines: Iterable[Line], id: str) -> list[Line]:
-    """Return the lines on a job, and on its pool meanwhile, in order of time."""
+    """Return the lines about a job, and about its pool meanwhile, sorted by time."""
     ordered = sorted(lines, key=lambda line: line.time)
     own = [line for line in ordered if line.fields.get("job") == id]
     if not own:
@@ -96,25 +96,25 @@
         for line in ordered
         if line.fields.get("job") == id
         or (
-            line.change in ABOUT_POOL
+            line.change in POOL_CHANGES
             and line.fields.get("pool") in pools
             and first <= line.time <= last
         )
     ]
 
 
-def _open_all(files: Sequence[str]) -> Iterator[str]:
+def _read_texts(files: Sequence[str]) -> Iterator[str]:
     if not files:
         yield from sys.stdin
     for file in files:
         yield from pathlib.Path(file).read_text(encoding="utf-8").splitlines()
 
 
-def _draw(line: Line) -> str:
+def _format_line(line: Line) -> str:
     rest = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
-        if name not in HIDDEN and value not in ("", None)
+        if name not in HIDDEN_FIELDS and value not in ("", None)
     )
     return f"{line.time}  {line.daemon}  {line.change}  {rest}".rstrip()
 
--- a/wigeonhitch/command/tests/test_command.py
+++ b/wigeonhitch/command/tests/test_command.py
@@ -113,7 +113,7 @@
     three = ("--daemon", "http://a:1,http://b:1,http://c:1")
     faults["a"] = (httpx.ConnectError("refused"), None)
     faults["b"] = (None, httpx.ReadTimeout("lost"))
-    monkeypatch.setattr(client, "ASKING_LIMIT", -1.0)
+    monkeypatch.setattr(client, "FAILOVER_LIMIT_SECONDS", -1.0)
     code, _ = run("document", "submit", ALTIPLANO, *three)
     assert (code, [host for host, _, _ in requests]) == (Exit.UNKNOWN, ["a", "b"])
 
--- a/wigeonhitch/daemon/__init__.py
+++ b/wigeonhitch/daemon/__init__.py
@@ -1,8 +1,8 @@
-"""The daemon ``wigeonhitchd``: all slices in one process, owned by exit stacks.
+"""The daemon ``wigeonhitchd``: all packages in one process.
 
-Public: `main` runs a daemon, `assembly` puts one together; `server` and the
-registry of `exchange` are for the stand-ins and the site program too. No slice
-imports this package.
+Public: `main` runs a daemon, `assembly` builds one; the stand-ins and the site
+program also use `server` and the registry of `exchange`. None of the packages
+that a daemon consists of imports this one.
 """
 
 __all__ = ["assembly", "exchange", "main", "server"]
--- a/wigeonhitch/daemon/assembly.py
+++ b/wigeonhitch/daemon/assembly.py
@@ -1,7 +1,7 @@
-"""One daemon, put together from its slices.
+"""Builds a daemon from its components.
 
-Nothing is decided here: slices are given what they need of each other as
-callables, and an exit stack owns whatever must be closed.
+This module makes no decisions: components receive their dependencies on each
+other as callables, and an exit stack closes all resources.
 """
 
 import collections
@@ -19,7 +19,7 @@
     store,
     watcher,
 )
-from wigeonhitch.daemon import exchange, following, heard, server, status, workers
+from wigeonhitch.daemon import exchange, monitored, refresher, server, status, workers
 from wigeonhitch.fleet import observer, runner, view
 from wigeonhitch.fleet import routes as fleet_routes
 from wigeonhitch.front import application, dispatcher, guard, sender
@@ -39,7 +39,7 @@
 
 
 class Daemon:
-    """All parts of one daemon; `build` makes it."""
+    """All components of one daemon; created by `build`."""
 
     def __init__(self, settings: schema.Settings, platform: client.Client) -> None:
         self.settings = settings
@@ -47,7 +47,9 @@
         self.instruments = metric.Instruments()
         self.tracing = trace.Tracing(settings.traces, settings.daemon.name)
         self.platform = platform
-        self.table = heard.HeardTable(platform, self.clock, self._hear_store)
+        self.table = monitored.MonitoredTable(
+            platform, self.clock, self._record_store_answer
+        )
         self.document: document.Document | None = None
         self.version = 0
         self.catalogue: application.Catalogue | None = None
@@ -55,33 +57,36 @@
         self.was_registered = False
 
     def build_membership(self) -> None:
-        """Make the peers, the leases and the task that beats."""
+        """Create the members, the leases and the heartbeat task."""
         settings = self.settings
         address = settings.peers.advertise or settings.peers.bind
-        self.me = core.Peer(
+        self.local_peer = core.Peer(
             settings.daemon.name,
             address,
             settings.daemon.vm,
             settings.daemon.data_centre,
         )
         members = core.Members(
-            self.me, settings.peers.limits, random.getrandbits(32), self.clock()
+            self.local_peer, settings.peers.limits, random.getrandbits(32), self.clock()
         )
         seeds = [
-            core.Peer(one.name, one.address, "", "") for one in settings.peers.seeds
+            core.Peer(seed.name, seed.address, "", "") for seed in settings.peers.seeds
         ]
         members.add_seeds(seeds, self.clock())
         self.holder = holder.Holder(
-            self.table, settings.daemon.name, fields=self._describe, clock=self.clock
+            self.table,
+            settings.daemon.name,
+            fields=self._build_row_fields,
+            clock=self.clock,
         )
         self.membership = task.Membership(
             members,
             self.holder,
             self.clock,
             lambda: self.workers.describe(),
-            self._change_members,
-            self._change_send_right,
-            lambda beat: self.workers.hear(beat),
+            self._handle_members_change,
+            self._handle_send_right_change,
+            lambda heartbeat: self.workers.handle_heartbeat(heartbeat),
             self.instruments,
         )
         self.transport = transport.Transport(
@@ -99,11 +104,13 @@
         self.membership.attach(self.transport)
 
     def build_configuration(self) -> None:
-        """Make the documents' store and the task that follows them."""
+        """Create the document store and the task that distributes documents."""
         self.documents = store.Store(
             self.table,
             self.platform,
-            on_accepted=lambda *news: self.watcher.handle_accepted(*news),
+            on_accepted=lambda *accepted_version: self.watcher.handle_accepted(
+                *accepted_version
+            ),
         )
         self.watcher = watcher.Watcher(
             distribution.Distribution(distribution.Limits(), random.Random()),
@@ -112,21 +119,21 @@
             exchange.PeerDocuments(self.membership),
             self.clock,
             install=self._install,
-            on_fleet_change=lambda version: self.following.note_moved(),
+            on_fleet_change=lambda version: self.refresher.handle_fleet_change(),
         )
 
-    def build_requests(self, outlet: sender.Sender) -> None:
-        """Make the callers' side."""
+    def build_requests(self, worker_sender: sender.Sender) -> None:
+        """Create the components that serve callers."""
         settings = self.settings
-        self.outlet = outlet
+        self.worker_sender = worker_sender
         self.routing = routing_core.Core(
             settings.daemon.name, seed=random.getrandbits(32)
         )
-        self.dispatch = dispatcher.Dispatcher(
+        self.dispatcher = dispatcher.Dispatcher(
             self.routing,
-            outlet,
+            worker_sender,
             self.clock,
-            lambda told, traces: self.exchange.tell(told, traces),
+            lambda outgoing, traces: self.exchange.send(outgoing, traces),
             lambda vm: self.workers.find_address(vm),
             self.membership.check_send_right,
         )
@@ -134,14 +141,14 @@
             view.Follower(self.table),
             self.platform,
             lambda: self.document,
-            self.dispatch.apply,
+            self.dispatcher.apply,
             self.routing.in_flight,
         )
         self.exchange = exchange.Exchange(
-            self.membership, self.dispatch, self.watcher, self.tracing
+            self.membership, self.dispatcher, self.watcher, self.tracing
         )
-        self.following = following.Following(
-            self.workers, self.holder, outlet, self.clock
+        self.refresher = refresher.WorkerRefresher(
+            self.workers, self.holder, worker_sender, self.clock
         )
         self.claims = claims.Claims(
             self.table,
@@ -151,9 +158,9 @@
             clock=self.clock,
         )
         self.front = application.Application(
-            self.dispatch,
+            self.dispatcher,
             guard.IdempotencyGuard(
-                self.claims, self.dispatch, self.clock, self.tracing
+                self.claims, self.dispatcher, self.clock, self.tracing
             ),
             lambda: self.catalogue if self.is_ready() else None,
             self.is_ready,
@@ -165,19 +172,19 @@
         )
 
     def build_duties(self) -> None:
-        """Make what this daemon does while it holds a duty."""
+        """Create the components that run while this daemon holds their duty."""
         settings = self.settings
         platform = observer.Platform(
-            self.table, self.platform, self.outlet.probe, self.clock
+            self.table, self.platform, self.worker_sender.probe, self.clock
         )
-        silence = settings.drains
+        confirmation_limits = settings.drains
         self.fleet = runner.Runner(
-            observer.Observer(platform, confirmation_limits=silence),
+            observer.Observer(platform, confirmation_limits=confirmation_limits),
             self.holder,
             lambda: self.document,
         )
         self.fleet_routes = fleet_routes.build_routes(
-            observer.Observer(platform, confirmation_limits=silence),
+            observer.Observer(platform, confirmation_limits=confirmation_limits),
             lambda: self.document,
         )
         self.placement = placement_runner.Runner(
@@ -191,11 +198,11 @@
             )
         )
         self.sweeper = sweeper.Sweeper(
-            self.table, self._list_services, self._find_sweep_condition
+            self.table, self._list_services, self._get_sweep_condition
         )
 
     def build_routes(self) -> list[Any]:
-        """Return all routes of the operators' interface."""
+        """Return all routes of the operator interface."""
         return [
             *routes.make_routes(self.documents),
             *self.fleet_routes,
@@ -203,8 +210,8 @@
             *status.build_routes(self),
         ]
 
-    def list_counters(self) -> dict[str, collections.Counter]:
-        """Return the counters that the slices keep, by slice."""
+    def get_counters(self) -> dict[str, collections.Counter]:
+        """Return the event counters by component."""
         return {
             "claims": self.claims.counts,
             "fleet": self.fleet.counters,
@@ -216,10 +223,10 @@
         }
 
     def is_ready(self) -> bool:
-        """Whether the balancer may send requests here.
+        """Return whether the load balancer may send requests to this daemon.
 
-        A daemon without its row in the table is waited for by no planned stop,
-        so it serves nothing until it was registered once.
+        A planned stop of a VM doesn't wait for a daemon without a row in the
+        table, so a daemon serves nothing until it has been registered once.
         """
         self.was_registered = self.was_registered or self.holder.is_live
         return (
@@ -231,15 +238,15 @@
         )
 
     async def run(self, group: Any) -> None:
-        """Start all tasks in ``group``; returns when peers can connect."""
+        """Start all tasks in ``group`` and return once peers can connect."""
         await group.start(self.transport.run, self.settings.peers.bind)
         await group.start(self.holder.run)
         await group.start(self.claims.run)
         for run in (
             self.membership.run,
             self.watcher.run,
-            self.dispatch.run_timer,
-            self.following.run,
+            self.dispatcher.run_timer,
+            self.refresher.run,
             self.placement.run,
             self._sweep,
         ):
@@ -247,32 +254,32 @@
         await group.start(runner.run, self.fleet)
 
     async def stop(self) -> None:
-        """Finish what is held, then release duties and leave.
+        """Finish the held requests, then release the duties and delete the row.
 
-        The order matters: the row goes last, since a planned stop waits only
-        for daemons that have one.
+        The row must be deleted last, since a planned stop of a VM waits only
+        for daemons that have a row.
         """
         self.stopping = True
-        log.log_change("stopping", held=self.dispatch.held_requests)
-        self.dispatch.apply(event.Stopping())
+        log.log_change("stopping", held=self.dispatcher.held_requests)
+        self.dispatcher.apply(event.Stopping())
         limit = self.settings.daemon.stop_within
         with anyio.move_on_after(limit):
-            while self.dispatch.held_requests or not self.routing.is_idle:
+            while self.dispatcher.held_requests or not self.routing.is_idle:
                 await anyio.sleep(0.02)
             await self.claims.flush(limit / 4)
             await self.holder.leave(limit / 4)
-        log.log_change("stopped", held=self.dispatch.held_requests)
+        log.log_change("stopped", held=self.dispatcher.held_requests)
 
-    def _hear_store(self, asked: float) -> None:
-        self.membership.record_store_answer(asked)
+    def _record_store_answer(self, called_at: float) -> None:
+        self.membership.record_store_answer(called_at)
 
-    def _describe(self) -> dict[str, Any]:
+    def _build_row_fields(self) -> dict[str, Any]:
         drains = self.workers.describe()
         return {
-            "address": self.me.address,
+            "address": self.local_peer.address,
             "http": self.settings.callers.bind,
-            "vm": self.me.vm,
-            "data_centre": self.me.data_centre,
+            "vm": self.local_peer.vm,
+            "data_centre": self.local_peer.data_centre,
             "drain": drains.drain,
             "busy": list(drains.busy),
             "version": self.version,
@@ -282,26 +289,26 @@
     def _install(self, version: int, accepted: document.Document) -> None:
         self.document, self.version = accepted, version
         self.catalogue = application.make_catalogue(accepted)
-        self.dispatch.apply(
+        self.dispatcher.apply(
             event.UrgenciesChanged(
                 tuple(
-                    event.Urgency(one.name, one.start_within)
-                    for one in accepted.urgencies
+                    event.Urgency(urgency.name, urgency.start_within)
+                    for urgency in accepted.urgencies
                 )
             )
         )
         weights = {team.name: team.weight for team in accepted.teams}
-        self.dispatch.apply(event.TeamsChanged(weights))
+        self.dispatcher.apply(event.TeamsChanged(weights))
         self.workers.refresh()
         self.instruments.set("document_version", "Version in force.", version)
 
-    def _change_members(self, alive: frozenset[str]) -> None:
-        self.dispatch.apply(event.MembersChanged(alive))
+    def _handle_members_change(self, alive: frozenset[str]) -> None:
+        self.dispatcher.apply(event.MembersChanged(alive))
         self.claims.set_daemon_count(len(alive))
-        self.watcher.set_peers(tuple(sorted(alive - {self.me.daemon})))
+        self.watcher.set_peers(tuple(sorted(alive - {self.local_peer.daemon})))
 
-    def _change_send_right(self, held: bool) -> None:
-        self.dispatch.apply(
+    def _handle_send_right_change(self, held: bool) -> None:
+        self.dispatcher.apply(
             event.SendRightRestored() if held else event.SendRightLapsed()
         )
 
@@ -312,7 +319,7 @@
     def _list_services(self) -> list[str]:
         return list(self.catalogue.services) if self.catalogue else []
 
-    def _find_sweep_condition(self) -> Any:
+    def _get_sweep_condition(self) -> Any:
         held = self.holder.current(sweeper.DUTY)
         return held.condition if held else None
 
@@ -328,17 +335,17 @@
         data_centre=settings.daemon.data_centre,
         verify=verify,
     )
-    made = Daemon(settings, platform)
-    stack.callback(made.tracing.close)
-    made.build_membership()
-    made.build_configuration()
-    made.build_requests(
+    daemon = Daemon(settings, platform)
+    stack.callback(daemon.tracing.close)
+    daemon.build_membership()
+    daemon.build_configuration()
+    daemon.build_requests(
         sender.Sender(
             stack,
             settings.workers.limits,
             server.make_client_context(settings.workers.authority),
-            made.tracing,
+            daemon.tracing,
         )
     )
-    made.build_duties()
-    return made
+    daemon.build_duties()
+    return daemon
--- a/wigeonhitch/daemon/exchange.py
+++ b/wigeonhitch/daemon/exchange.py
@@ -1,4 +1,4 @@
-"""What the slices of a daemon and those of its peers say to each other."""
+"""Messages between the components of a daemon and those of its peers."""
 
 import contextlib
 
@@ -21,7 +21,7 @@
 
 
 class PeerDocuments:
-    """Carries the configuration slice's messages to peers.
+    """Sends configuration messages to peers.
 
     Parameters
     ----------
@@ -32,12 +32,12 @@
         self._membership = membership
 
     async def send(self, peer: str, data: bytes) -> None:
-        """Send to one peer; a failure is not reported."""
+        """Send to one peer without reporting failures."""
         self._membership.send(peer, message.Configuration(data), "configuration")
 
 
 class Exchange:
-    """Carries slot messages to peers, and gives what they say to its slice.
+    """Sends slot messages to peers and dispatches the messages received from them.
 
     Parameters
     ----------
@@ -59,13 +59,13 @@
         self._documents = documents
         self._tracing = tracing
 
-    def tell(self, told: action.SendMessages, traces: tuple[str, ...]) -> None:
-        """Send slot messages, with the contexts of the traced requests."""
-        packed = slots.pack(told.messages, traces)
-        self._membership.send(told.daemon, packed, "slots")
+    def send(self, outgoing: action.SendMessages, traces: tuple[str, ...]) -> None:
+        """Send slot messages with the trace contexts of their requests."""
+        packed = slots.pack(outgoing.messages, traces)
+        self._membership.send(outgoing.daemon, packed, "slots")
 
     def receive(self, received: codec.Received) -> None:
-        """Give a peer's message to the slice that it is for."""
+        """Pass the message of a peer to the component that handles it."""
         if self._membership.handle_message(received):
             return
         if isinstance(received.message, slots.Slots):
@@ -73,11 +73,11 @@
         elif isinstance(received.message, message.Configuration):
             self._documents.receive(received.sender, received.message.data)
 
-    def _receive_slots(self, sender: str, given: slots.Slots) -> None:
-        """Take slot messages, with a span for each traced request among them."""
-        with contextlib.ExitStack() as hops:
-            for context in given.traces:
+    def _receive_slots(self, sender: str, packed: slots.Slots) -> None:
+        """Handle slot messages, with a span for each traced request among them."""
+        with contextlib.ExitStack() as spans:
+            for context in packed.traces:
                 carrier = {"traceparent": context}
-                hops.enter_context(self._tracing.open_hop("slots", carrier))
-            messages = slots.unpack(given)
+                spans.enter_context(self._tracing.open_hop("slots", carrier))
+            messages = slots.unpack(packed)
             self._dispatch.apply(event.Received(sender, messages))
--- a/wigeonhitch/daemon/main.py
+++ b/wigeonhitch/daemon/main.py
@@ -15,7 +15,7 @@
 
 __all__ = ["run", "serve"]
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 def run() -> None:
@@ -33,9 +33,9 @@
     """
     loaded = load.load(settings)
     if loaded.settings is None:
-        for one in loaded.problems:
-            print(f"{settings}: {problem.format_problem(one)}", file=sys.stderr)
-        return EXIT_SETTINGS
+        for invalid in loaded.problems:
+            print(f"{settings}: {problem.format_problem(invalid)}", file=sys.stderr)
+        return EXIT_INVALID_SETTINGS
     log.configure(loaded.settings.log.level)
     for name in ("callers", "operators", "peers"):
         if getattr(loaded.settings, name).tls is None:
@@ -71,8 +71,8 @@
 
 async def _serve_operators(daemon: assembly.Daemon, closed: anyio.Event) -> None:
     operators = daemon.settings.operators
-    made: Any = operator.make_application(daemon)
-    await server.serve(made, operators.bind, operators.tls, closed.wait)
+    application: Any = operator.build_application(daemon)
+    await server.serve(application, operators.bind, operators.tls, closed.wait)
 
 
 async def _await_signal(stopped: anyio.Event) -> None:
--- a/wigeonhitch/daemon/heard.py
+++ b/wigeonhitch/daemon/monitored.py
@@ -1,25 +1,25 @@
-"""The table, with a note of every answer: proof that this daemon isn't cut off."""
+"""A table client that reports every answer as evidence of connectivity."""
 
 from collections.abc import Callable, Sequence
 
 from wigeonhitch.platform import table
 
-__all__ = ["HeardTable"]
+__all__ = ["MonitoredTable"]
 
 
-class HeardTable:
-    """Passes calls on to a `table.Table` and tells when one was answered.
+class MonitoredTable:
+    """Forwards calls to a `table.Table` and reports when one was answered.
 
-    An answer counts as of the time its call was begun: a process that was
-    paused in between must not take it for fresh.
+    An answer is dated to the start of its call: a process that was suspended
+    during the call must not treat the answer as recent.
 
     Parameters
     ----------
     store : table.Table
     clock : callable
-        Seconds on the clock that counts suspension.
+        Returns seconds on a clock that includes time suspended.
     on_answer : callable
-        Called with the time at which the answered call was begun.
+        Called with the start time of the answered call.
     """
 
     def __init__(
@@ -36,20 +36,20 @@
         self, keys: Sequence[str], *, purpose: str, timeout: float = 2.0
     ) -> table.ReadResult:
         """Read rows by key."""
-        asked = self._clock()
-        return self._note(
-            asked, await self._store.read(keys, purpose=purpose, timeout=timeout)
+        called_at = self._clock()
+        return self._record_read(
+            called_at, await self._store.read(keys, purpose=purpose, timeout=timeout)
         )
 
     async def scan(
         self, prefix: str, *, purpose: str, since: int = 0, timeout: float = 5.0
     ) -> table.ReadResult:
         """Read rows under a prefix."""
-        asked = self._clock()
-        found = await self._store.scan(
+        called_at = self._clock()
+        result = await self._store.scan(
             prefix, purpose=purpose, since=since, timeout=timeout
         )
-        return self._note(asked, found)
+        return self._record_read(called_at, result)
 
     async def commit(
         self,
@@ -60,15 +60,17 @@
         timeout: float = 2.0,
     ) -> table.CommitResult:
         """Commit all writes if every condition holds."""
-        asked = self._clock()
-        made = await self._store.commit(
+        called_at = self._clock()
+        result = await self._store.commit(
             conditions, writes, purpose=purpose, timeout=timeout
         )
-        if made.outcome is table.Outcome.DONE or made.conflicts:
-            self._on_answer(asked)
-        return made
+        if result.outcome is table.Outcome.DONE or result.conflicts:
+            self._on_answer(called_at)
+        return result
 
-    def _note(self, asked: float, found: table.ReadResult) -> table.ReadResult:
-        if found.outcome is table.Outcome.DONE:
-            self._on_answer(asked)
-        return found
+    def _record_read(
+        self, called_at: float, result: table.ReadResult
+    ) -> table.ReadResult:
+        if result.outcome is table.Outcome.DONE:
+            self._on_answer(called_at)
+        return result
--- a/wigeonhitch/daemon/server.py
+++ b/wigeonhitch/daemon/server.py
@@ -1,6 +1,6 @@
-"""HTTP servers in this process, by hypercorn's asyncio entry point.
+"""HTTP servers in this process, through the asyncio entry point of hypercorn.
 
-The ``hypercorn`` command would fork a worker; serving in process does not.
+The ``hypercorn`` command would fork a worker process.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import hypercorn.asyncio
 import hypercorn.config
 
-if TYPE_CHECKING:  # the settings' schema loads much that not each daemon needs
+if TYPE_CHECKING:  # the schema's imports are heavy and not always needed
     from wigeonhitch.settings import schema
 
 __all__ = [
@@ -25,15 +25,15 @@
     "wait_until_listening",
 ]
 
-# Seconds that an idle connection of a caller or of the balancer is kept.
-KEEP_ALIVE = 75.0
+# Time for which an idle connection of a caller or the load balancer is kept.
+KEEP_ALIVE_SECONDS = 75.0
 
-# Connections that wait to be accepted; a burst of reconnecting callers after
-# the loss of another daemon arrives within one round trip.
+# Length of the accept queue. When another daemon is lost, its callers reconnect
+# in a burst that arrives within one round trip.
 BACKLOG = 1024
 
-# Seconds that open connections get once nothing is held any more.
-GRACE = 1.0
+# Time that open connections get to close once no request is held any more.
+GRACEFUL_TIMEOUT_SECONDS = 1.0
 
 
 async def serve(
@@ -52,12 +52,12 @@
     tls: schema.Tls | None,
     wait_for_stop: Callable[[], Any],
 ) -> None:
-    """Serve an ASGI application at several addresses."""
+    """Serve an ASGI application on several addresses."""
     config = hypercorn.config.Config()
     config.bind = addresses
     config.backlog = BACKLOG
-    config.keep_alive_timeout = KEEP_ALIVE
-    config.graceful_timeout = GRACE
+    config.keep_alive_timeout = KEEP_ALIVE_SECONDS
+    config.graceful_timeout = GRACEFUL_TIMEOUT_SECONDS
     config.include_server_header = False
     config.accesslog = None
     config.errorlog = logging.getLogger("hypercorn.error")
@@ -83,8 +83,8 @@
 def make_peer_context(tls: schema.Tls | None, purpose: ssl.Purpose) -> Any:
     """Return the context of one side of mutual TLS between daemons, or None.
 
-    Peers are known by a certificate of the common authority, not by a host
-    name: they are replaced at any time and speak by address.
+    Peers authenticate by a certificate of the common authority and not by host
+    name: they are replaced at any time and connect by address.
     """
     if tls is None:
         return None
--- a/wigeonhitch/daemon/status.py
+++ b/wigeonhitch/daemon/status.py
@@ -1,4 +1,4 @@
-"""Routes that say how this daemon and its peers are."""
+"""Routes that report the status of this daemon and its peers."""
 
 from typing import Any
 
@@ -12,17 +12,17 @@
 
     async def show(request: route.Request) -> route.Answer:
         del request
-        return route.Answer(200, describe(daemon))
+        return route.Answer(200, build_status(daemon))
 
     return [route.Route("GET", "/status", False, show)]
 
 
-def describe(daemon: Any) -> dict[str, Any]:
-    """Return the state of a daemon in words and numbers."""
+def build_status(daemon: Any) -> dict[str, Any]:
+    """Return the status of a daemon."""
     drains = daemon.workers.describe()
     live = daemon.holder.live
     return {
-        "daemon": daemon.me.daemon,
+        "daemon": daemon.local_peer.daemon,
         "ready": daemon.is_ready(),
         "stopping": daemon.stopping,
         "registered": daemon.holder.is_live,
@@ -32,7 +32,7 @@
         "fleet_revision": drains.fleet_revision,
         "unusable_vms": list(drains.unusable),
         "vms_draining_here": list(drains.busy),
-        "held_requests": daemon.dispatch.held_requests,
+        "held_requests": daemon.dispatcher.held_requests,
         "daemons": {
             name: {
                 "vm": row.get("vm", ""),
--- a/wigeonhitch/daemon/tests/test_workers.py
+++ b/wigeonhitch/daemon/tests/test_workers.py
@@ -31,10 +31,10 @@
         }
         for number in range(COUNT)
     ]
-    made = fake.Fake(vms)
+    fake_platform = fake.Fake(vms)
     for number in range(COUNT - 1):
-        write_row(made, f"w{number}", "up")
-    return made
+        write_row(fake_platform, f"w{number}", "up")
+    return fake_platform
 
 
 @pytest.fixture
@@ -51,13 +51,13 @@
 @pytest.fixture
 def follow(platform, followed):
     """A function that runs a daemon's readings and returns how many lists."""
-    made = followed
+    worker_view = followed
     start = platform.now
 
     def run(seconds):
         before = platform.engine.counters["reads"][workers.PURPOSE]
         for _ in range(seconds):
-            fake.run(made.read(platform.now - start))
+            fake.run(worker_view.read(platform.now - start))
             platform.advance(1.0)
         return platform.engine.counters["reads"][workers.PURPOSE] - before
 
@@ -65,21 +65,21 @@
 
 
 def test_the_list_is_read_seldom_while_the_rows_tell_nothing_new(follow):
-    period = workers.find_list_period(COUNT)
+    period = workers.compute_list_period(COUNT)
     assert follow(int(3 * period)) <= 4
 
 
 @pytest.mark.parametrize("vm", ["w7", f"w{COUNT - 1}"])
 def test_a_vm_that_comes_up_makes_the_list_be_read_soon(platform, followed, follow, vm):
-    soon = int(workers.find_list_period(COUNT, has_news=True)) + 2
+    soon = int(workers.compute_list_period(COUNT, has_changes=True)) + 2
     follow(soon)
     assert follow(soon) == 0
     if vm == "w7":
         write_row(platform, vm, "down")
-        followed.note_moved()
+        followed.mark_rows_stale()
         assert follow(3) == 0
     write_row(platform, vm, "up")
-    followed.note_moved()
+    followed.mark_rows_stale()
     assert follow(soon) == 1
     assert follow(soon) == 0
 
@@ -94,9 +94,9 @@
     follow(1)
     before = count_row_reads(platform)
     follow(60)
-    assert count_row_reads(platform) - before <= 60 / workers.ROWS_PERIOD + 1
+    assert count_row_reads(platform) - before <= 60 / workers.ROWS_PERIOD_SECONDS + 1
     write_row(platform, "w3", "draining")
-    followed.note_moved()
+    followed.mark_rows_stale()
     follow(1)
     assert followed.describe().unusable == ("w3",)
 
@@ -104,7 +104,7 @@
 def test_rows_that_could_not_be_read_are_tried_again_soon(platform, followed, follow):
     follow(1)
     write_row(platform, "w3", "draining")
-    followed.note_moved()
+    followed.mark_rows_stale()
     platform.switch(down=True)
     follow(1)
     platform.switch(down=False)
