--- a/wigeonhitch/leadership/core.py
+++ b/wigeonhitch/leadership/core.py
@@ -274,7 +274,7 @@
     def is_leader(self, pool: str) -> bool:
         """Return whether this daemon leads a pool by a claim since its last lapse."""
         return (
-            self._is_owned_by_this_life(pool)
+            self._is_owned_by_this_incarnation(pool)
             and self.owners[pool].version > self._lapse_version
         )
 
@@ -515,7 +515,7 @@
             return VacancyReason.NEW
         if not owner.name:
             return VacancyReason.GIVEN_UP
-        if self._is_owned_by_this_life(pool):
+        if self._is_owned_by_this_incarnation(pool):
             return VacancyReason.OWN_LAPSE
         if owner.name == self.name:
             return VacancyReason.RESTARTED
@@ -548,7 +548,7 @@
         """
         return self._members_store_time > member.until + LEASE_MARGIN_SECONDS
 
-    def _is_owned_by_this_life(self, pool: str) -> bool:
+    def _is_owned_by_this_incarnation(self, pool: str) -> bool:
         """Return whether the newest known owner row names this run of this daemon."""
         return (
             self._is_owned_by_this_daemon(pool) and self.owners[pool].life == self.life
--- a/wigeonhitch/leadership/task.py
+++ b/wigeonhitch/leadership/task.py
@@ -30,7 +30,7 @@
 OWNERS_FEED_WAIT_SECONDS = 1.5
 """Time that the feed of owners waits for changes."""
 
-RETRY_SECONDS = 0.1
+RETRY_DELAY_SECONDS = 0.1
 """Delay before a failed call is retried."""
 
 CLAIM_INTERVAL_SECONDS = 0.05
@@ -120,7 +120,7 @@
         change = await self._write_owner(vacated, conditions)
         # Nobody claims a pool whose owner row names a live daemon.
         while change.outcome is not table.Outcome.DONE and change.reason != "conflict":
-            await anyio.sleep(RETRY_SECONDS)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
             change = await self._write_owner(vacated, conditions)
         if change.outcome is table.Outcome.DONE:
             self.leadership.on_owner(vacated._replace(version=change.version))
@@ -134,7 +134,7 @@
     async def _run_renewal(self) -> None:
         """Renew the lease while this daemon is a candidate."""
         while not await self._read_own_row():
-            await anyio.sleep(RETRY_SECONDS)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
         while True:
             started_at = http.read_clock()
             if self._should_step_down(started_at):
@@ -144,9 +144,9 @@
             done = self.leadership.is_candidate and await self._renew()
             elapsed = http.read_clock() - started_at
             await anyio.sleep(
-                max(RETRY_SECONDS, core.RENEWAL_INTERVAL_SECONDS - elapsed)
+                max(RETRY_DELAY_SECONDS, core.RENEWAL_INTERVAL_SECONDS - elapsed)
                 if done
-                else RETRY_SECONDS
+                else RETRY_DELAY_SECONDS
             )
 
     def _should_step_down(self, now: float) -> bool:
@@ -311,7 +311,7 @@
         times = feed.FollowTiming(
             OWNERS_FEED_WAIT_SECONDS,
             OWNERS_FEED_WAIT_SECONDS + CALL_TIMEOUT_SECONDS,
-            RETRY_SECONDS,
+            RETRY_DELAY_SECONDS,
         )
         await feed.follow(
             self._store,
@@ -389,7 +389,9 @@
                 log.log_change("leadership handed over", pool=pool)
                 await self.give_up(pool)
             is_candidate = self.leadership.is_candidate
-            await anyio.sleep(CLAIM_INTERVAL_SECONDS if is_candidate else RETRY_SECONDS)
+            await anyio.sleep(
+                CLAIM_INTERVAL_SECONDS if is_candidate else RETRY_DELAY_SECONDS
+            )
 
     async def _claim(self, pool: str) -> None:
         """Claim a pool; this daemon doesn't step down meanwhile."""
--- a/wigeonhitch/pool/core.py
+++ b/wigeonhitch/pool/core.py
@@ -24,7 +24,7 @@
 """Largest number of ends in one answer of a worker; an answer with that many may
 leave out further ones."""
 
-RETRY_PAUSE = 0.25
+START_RETRY_DELAY_SECONDS = 0.25
 """Seconds before a refused start is retried: a fifth of the run time of a small
 task, so that a faulty VM doesn't attract all starts."""
 
@@ -110,7 +110,7 @@
         self, run: vm.Run, verdict: workers.Verdict, now: float
     ) -> None:
         self.remove_run(run)
-        self.not_before[run.task] = now + RETRY_PAUSE
+        self.not_before[run.task] = now + START_RETRY_DELAY_SECONDS
         if verdict is workers.Verdict.UNHEALTHY:
             run.vm.quarantine(now)
         if verdict is workers.Verdict.NOT_DONE:
--- a/wigeonhitch/pool/dispatcher.py
+++ b/wigeonhitch/pool/dispatcher.py
@@ -7,15 +7,20 @@
 from wigeonhitch.platform import http, workers
 from wigeonhitch.pool import core, dependencies, message, vm
 
-__all__ = ["OUTAGE_LEASE", "START_DEADLINE", "WORKER_LEASE", "Dispatcher"]
-
-WORKER_LEASE = 3.8
+__all__ = [
+    "OUTAGE_LEASE_SECONDS",
+    "START_DEADLINE_SECONDS",
+    "WORKER_LEASE_SECONDS",
+    "Dispatcher",
+]
+
+WORKER_LEASE_SECONDS = 3.8
 """Seconds for which a worker keeps its tasks without a renewal. It is longer than a
 takeover (a lease of 2.2 s, a poll of 0.5 s, a hold of 0.6 s and the first calls),
 so that work goes on when a leader dies. Tasks of a silent VM are restarted elsewhere
 only after it."""
 
-OUTAGE_LEASE = 6.5
+OUTAGE_LEASE_SECONDS = 6.5
 """Lease in seconds while the store doesn't answer this daemon. Outages last 3 to 9 s,
 and a leader that can't renew its own lease soon can't renew those of its workers;
 with the 2 s that its own lease still lasts, work survives 8.5 s. A longer lease
@@ -23,28 +28,28 @@
 
 STORE_OUTAGE_AFTER_SECONDS = 1.3
 """Seconds without a renewal of the leader's own lease after which workers get
-`OUTAGE_LEASE`: two renewals have failed by then."""
+`OUTAGE_LEASE_SECONDS`: two renewals have failed by then."""
 
-HOLD_WAIT = 0.6
+HOLD_WAIT_SECONDS = 0.6
 """Seconds that a hold waits for a run to end, on a VM with tasks: six renewals per
 lease, and load figures for pacing about twice a second."""
 
-IDLE_WAIT = 1.2
+IDLE_WAIT_SECONDS = 1.2
 """Seconds that a hold waits on a VM without tasks: longer, as each call to a worker
 has a cost."""
 
-CALL_SLACK = 0.5
+CALL_MARGIN_SECONDS = 0.5
 """Seconds beyond its wait after which a call counts as lost: a call takes a few
 milliseconds, and up to 0.25 s if the daemon or the link is slow."""
 
-START_TIMEOUT = 0.7
+START_TIMEOUT_SECONDS = 0.7
 """Seconds to wait for the answer to a start."""
 
-START_DEADLINE = 1.2
+START_DEADLINE_SECONDS = 1.2
 """Seconds after which a worker refuses a delayed start, so that the first answer
 after this deadline tells whether an unanswered start took place."""
 
-RETRY_SECONDS = 0.1
+RETRY_DELAY_SECONDS = 0.1
 """Seconds before a failed call is retried."""
 
 
@@ -91,8 +96,8 @@
         than this leader.
         """
         now = http.read_clock()
-        granted_recently = now - self._last_outage_lease < OUTAGE_LEASE
-        granted = OUTAGE_LEASE if granted_recently else WORKER_LEASE
+        granted_recently = now - self._last_outage_lease < OUTAGE_LEASE_SECONDS
+        granted = OUTAGE_LEASE_SECONDS if granted_recently else WORKER_LEASE_SECONDS
         return max(granted, self._pool.compute_remaining_earlier_lease(now))
 
     def _may_order(self) -> bool:
@@ -109,12 +114,12 @@
         if not self._may_order():
             reply = workers.OrderReply(workers.Verdict.NOT_DONE)
         else:
-            run.deadline = run.vm.compute_deadline(now, START_DEADLINE)
+            run.deadline = run.vm.compute_deadline(now, START_DEADLINE_SECONDS)
             run.vm.record_lease_deadline(run.deadline)
             order = start.order._replace(deadline=run.deadline)
             entry = run.vm.entry
             reply = await self._deps.workers.start(
-                entry.address, entry.id, order, timeout=START_TIMEOUT
+                entry.address, entry.id, order, timeout=START_TIMEOUT_SECONDS
             )
         if reply.verdict is workers.Verdict.UNKNOWN:
             run.vm.is_silent = True
@@ -136,7 +141,7 @@
             order.task,
             order.number,
             self._pool.fence,
-            timeout=START_TIMEOUT,
+            timeout=START_TIMEOUT_SECONDS,
         )
         self._log_event(
             "stop ordered",
@@ -162,7 +167,7 @@
             run.number,
             order.percent,
             self._pool.fence,
-            timeout=START_TIMEOUT,
+            timeout=START_TIMEOUT_SECONDS,
         )
         if reply.verdict is workers.Verdict.DONE:
             run.pace = order.percent
@@ -176,16 +181,16 @@
                 if self._may_order():
                     await self._renew_once(machine)
                 else:
-                    await anyio.sleep(RETRY_SECONDS / 2)
+                    await anyio.sleep(RETRY_DELAY_SECONDS / 2)
         finally:
             self.renewing.discard(machine.id)
 
     async def _renew_once(self, machine: vm.Vm) -> None:
         now = http.read_clock()
         silence = now - self._deps.get_last_renewal()
-        lease = WORKER_LEASE
+        lease = WORKER_LEASE_SECONDS
         if silence > STORE_OUTAGE_AFTER_SECONDS:
-            lease = OUTAGE_LEASE
+            lease = OUTAGE_LEASE_SECONDS
             self._last_outage_lease = now
         # A silent VM gets no new deadline: it may receive calls whose answers are
         # lost, and its leases would never certainly expire.
@@ -193,7 +198,7 @@
         if machine.knows_clock and not machine.is_silent:
             deadline = machine.compute_deadline(now, lease)
             machine.record_lease_deadline(deadline)
-        wait = HOLD_WAIT if machine.runs else IDLE_WAIT
+        wait = HOLD_WAIT_SECONDS if machine.runs else IDLE_WAIT_SECONDS
         if machine.is_silent or not machine.answered:
             wait = 0.0
         entry = machine.entry
@@ -204,13 +209,13 @@
             deadline,
             machine.committed_end,
             wait=wait,
-            timeout=wait + CALL_SLACK,
+            timeout=wait + CALL_MARGIN_SECONDS,
         )
         machine.is_silent = reply.verdict is not workers.Verdict.DONE
         self._pool.on_hold(machine, reply, http.read_clock())
         self._wake()
         if machine.is_silent:
-            await anyio.sleep(RETRY_SECONDS)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
             return
         for order in self._plan_paces(machine):
             await self.send_pace(order)
--- a/wigeonhitch/pool/health.py
+++ b/wigeonhitch/pool/health.py
@@ -16,11 +16,11 @@
 
 __all__ = ["is_slow", "is_slower_than_peers", "is_stuck"]
 
-STUCK_AFTER = 1.0
+STUCK_AFTER_SECONDS = 1.0
 """Seconds without progress after which a run counts as stuck: one and a half holds,
 while the longest tasks need 0.05 s for a percent."""
 
-LASTING_STUCK_AFTER = 2.0
+LASTING_STUCK_AFTER_SECONDS = 2.0
 """The same in seconds for a lasting task that isn't fully started; lasting tasks
 start up within a second."""
 
@@ -49,8 +49,8 @@
         return False  # other tasks determine its pace
     stalled = run.vm.reported_clock - run.moved
     if run.step.lasting:
-        return run.work < 100 and stalled > LASTING_STUCK_AFTER
-    return stalled > STUCK_AFTER
+        return run.work < 100 and stalled > LASTING_STUCK_AFTER_SECONDS
+    return stalled > STUCK_AFTER_SECONDS
 
 
 def is_slow(run: vm.Run, now: float) -> bool:
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -164,7 +164,7 @@
                 continue
             elif (
                 not self.pool.is_wanted(run)
-                or self._must_vacate(run, placer)
+                or self._must_drain(run, placer)
                 or self._must_restart_elsewhere(run, placer, now)
             ):
                 stops.append(self._stop(run, now))
@@ -213,7 +213,7 @@
         run.stop_sent = now
         return message.Stop(run.vm, run.task, run.number)
 
-    def _must_vacate(self, run: vm.Run, placer: placement.Placer) -> bool:
+    def _must_drain(self, run: vm.Run, placer: placement.Placer) -> bool:
         """Return whether a lasting run must leave its VM, which is closed or leaving.
 
         The step keeps to its ``max_unavailable``, whatever the cause of the missing
--- a/wigeonhitch/pool/runner.py
+++ b/wigeonhitch/pool/runner.py
@@ -36,15 +36,15 @@
 QUICK_COMMIT_SECONDS = 0.05
 """Seconds below which a transaction counts as quick; rows are compacted only then."""
 
-RETRY_SECONDS = 0.1
+RETRY_DELAY_SECONDS = 0.1
 """Seconds before a failed call is retried."""
 
-MIN_ROUND_INTERVAL = 0.008
+MIN_ROUND_INTERVAL_SECONDS = 0.008
 """Minimum seconds between two scheduling rounds, so that ends and jobs that arrive
 together are handled together; far below the tenth of a second per step that would
 matter to a job."""
 
-MAX_ROUND_INTERVAL = 0.25
+MAX_ROUND_INTERVAL_SECONDS = 0.25
 """Maximum seconds between two rounds: lapsed leases and due times are only detected
 in a round."""
 
@@ -155,8 +155,8 @@
                 self._run_round(group)
             if self.pool.ledger.has_work:
                 self._wake_commit.set()
-            await anyio.sleep(MIN_ROUND_INTERVAL)
-            with anyio.move_on_after(MAX_ROUND_INTERVAL):
+            await anyio.sleep(MIN_ROUND_INTERVAL_SECONDS)
+            with anyio.move_on_after(MAX_ROUND_INTERVAL_SECONDS):
                 await self._wake_round.wait()
 
     def _run_round(self, group: anyio.abc.TaskGroup) -> None:
@@ -216,7 +216,7 @@
             await self._wake_commit.wait()
             self._wake_commit = anyio.Event()
             if not await self._commit_once():
-                await anyio.sleep(RETRY_SECONDS)
+                await anyio.sleep(RETRY_DELAY_SECONDS)
                 self._wake_commit.set()
             elif self.pool.ledger.has_work:
                 self._wake_commit.set()
--- a/wigeonhitch/pool/source.py
+++ b/wigeonhitch/pool/source.py
@@ -14,17 +14,17 @@
 
 __all__ = ["Source"]
 
-FEED_WAIT = 1.0
+FEED_WAIT_SECONDS = 1.0
 """Seconds that a call to the feed waits for changes; a dead connection is detected
 after it."""
 
-READ_TIMEOUT = 1.5
+READ_TIMEOUT_SECONDS = 1.5
 """Time limit in seconds for reading a range of rows."""
 
-FEED_SLACK = 0.5
-"""Seconds beyond `FEED_WAIT` after which a call to the feed counts as lost."""
+FEED_MARGIN_SECONDS = 0.5
+"""Seconds beyond `FEED_WAIT_SECONDS` after which a call to the feed counts as lost."""
 
-RETRY_SECONDS = 0.1
+RETRY_DELAY_SECONDS = 0.1
 """Seconds before a failed call is retried."""
 
 
@@ -109,13 +109,15 @@
 
     async def _read_all(self, table_name: str, part: str) -> rows.Range:
         while True:
-            read_range = await self._store.read(table_name, part, timeout=READ_TIMEOUT)
+            read_range = await self._store.read(
+                table_name, part, timeout=READ_TIMEOUT_SECONDS
+            )
             if read_range.outcome is table.Outcome.DONE:
                 return read_range
             self._log_event(
                 "rows could not be read", table=table_name, reason=read_range.reason
             )
-            await anyio.sleep(RETRY_SECONDS)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
 
     def _take_job(self, row: rows.Row) -> None:
         if row.value is None or row.part not in self._job_parts:
@@ -137,7 +139,10 @@
         """Follow the jobs after a version, until cancelled."""
         while True:
             feed = await self._store.follow(
-                self._job_table, after, wait=FEED_WAIT, timeout=FEED_WAIT + FEED_SLACK
+                self._job_table,
+                after,
+                wait=FEED_WAIT_SECONDS,
+                timeout=FEED_WAIT_SECONDS + FEED_MARGIN_SECONDS,
             )
             if feed.expired:
                 self._log_event("job feed expired; rows read again", after=after)
@@ -145,7 +150,7 @@
                 self._wake()
                 continue
             if feed.outcome is not table.Outcome.DONE:
-                await anyio.sleep(RETRY_SECONDS)
+                await anyio.sleep(RETRY_DELAY_SECONDS)
                 continue
             after = max(after, feed.version)
             for row in feed.rows:
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -24,7 +24,7 @@
 STEP_CPU = (2500, 3000)
 """Millicores that a task of each step takes."""
 LOCATION = compaction.RowLocation("job", POOL)
-START_DEADLINE = dispatcher.START_DEADLINE
+START_DEADLINE_SECONDS = dispatcher.START_DEADLINE_SECONDS
 
 
 class Switches(NamedTuple):
@@ -92,7 +92,11 @@
             fence = 1
         if not world.switches.increasing_numbers:
             epoch = 1
-        longest = dispatcher.OUTAGE_LEASE if world.switches.wait_after_takeover else 0.0
+        longest = (
+            dispatcher.OUTAGE_LEASE_SECONDS
+            if world.switches.wait_after_takeover
+            else 0.0
+        )
         times = view.TimeBounds(longest, 0.0)
         self.pool = core.Pool(POOL, fence, epoch, times, world.now, lambda *a, **k: 0)
         self.pool.ledger.fence = change.version
@@ -148,7 +152,7 @@
 
     def _send_start(self, start: message.Start) -> None:
         run = start.run
-        length = START_DEADLINE if self.world.switches.own_deadline else 60.0
+        length = START_DEADLINE_SECONDS if self.world.switches.own_deadline else 60.0
         run.deadline = run.vm.compute_deadline(self.world.now, length)
         run.vm.record_lease_deadline(
             run.deadline if self.world.switches.own_deadline else 0.0
@@ -162,7 +166,7 @@
         now = self.world.now
         deadline = None
         if machine.knows_clock and not machine.is_silent:
-            deadline = machine.compute_deadline(now, dispatcher.WORKER_LEASE)
+            deadline = machine.compute_deadline(now, dispatcher.WORKER_LEASE_SECONDS)
             machine.record_lease_deadline(deadline)
         self.next_hold[machine.id] = now + 1.0
         acknowledged = (
--- a/wigeonhitch/pool/tests/test_core.py
+++ b/wigeonhitch/pool/tests/test_core.py
@@ -146,7 +146,7 @@
     machine.is_silent = True
     bench.add_vm("w2")
 
-    lapse = 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
+    lapse = 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN_SECONDS
     assert bench.plan(NOW + lapse - 0.1) == []
     assert machine.runs
 
@@ -176,7 +176,7 @@
 
     assert [order.run.task.job for order in bench.plan()] == ["new"]
 
-    waited = 6.5 * (1 + vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.01
+    waited = 6.5 * (1 + vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN_SECONDS + 0.01
     bench.pool.vms["w1"].last_answer = NOW + waited
     assert [o.run.task.job for o in bench.plan(NOW + waited)] == ["old"]
 
@@ -317,7 +317,7 @@
     bench.pool.on_start(run, workers.OrderReply(verdict), NOW)
 
     assert bench.plan(NOW) == []
-    (again,) = bench.start(NOW + core.RETRY_PAUSE)
+    (again,) = bench.start(NOW + core.START_RETRY_DELAY_SECONDS)
     assert again.number == run.number + 1
 
 
@@ -402,7 +402,7 @@
     bench.add_job("old", version=5)
     list_max_ends(bench, machine, NOW + 6.0)
     machine.is_silent = True
-    lapse = 6.0 + 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
+    lapse = 6.0 + 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN_SECONDS
     bench.pool.vms["w2"].last_answer = NOW + lapse
 
     assert bench.plan(NOW + lapse - 0.1) == []
@@ -428,7 +428,7 @@
     bench.pool.vms["w2"].last_answer = NOW + lapse
     assert bench.plan(NOW + lapse) == []
 
-    sure = lapse / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN + 0.1
+    sure = lapse / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN_SECONDS + 0.1
     bench.pool.vms["w2"].last_answer = NOW + sure
     assert [run.vm.id for run in bench.start(NOW + sure)] == ["w2"]
 
--- a/wigeonhitch/pool/tests/test_dispatcher.py
+++ b/wigeonhitch/pool/tests/test_dispatcher.py
@@ -39,27 +39,27 @@
     second gave it up 0.3 s later and reported only its own 3.8 s, so that the third
     restarted the tasks of an unreachable VM while they ran on for 2 s.
     """
-    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE_SECONDS)
     clock.now += 0.3
 
-    assert sender.compute_max_granted_lease() >= dispatcher.OUTAGE_LEASE - 0.3
+    assert sender.compute_max_granted_lease() >= dispatcher.OUTAGE_LEASE_SECONDS - 0.3
 
 
 def test_earlier_lease_is_counted_by_the_slowest_clock(make_dispatcher, clock):
-    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE_SECONDS)
     clock.now += 2.0
 
     passed = 2.0 * (1 - vm.MAX_CLOCK_DRIFT)
     assert sender.compute_max_granted_lease() == pytest.approx(
-        dispatcher.OUTAGE_LEASE - passed
+        dispatcher.OUTAGE_LEASE_SECONDS - passed
     )
 
 
 def test_expired_earlier_lease_is_not_reported(make_dispatcher, clock):
-    sender = make_dispatcher(dispatcher.OUTAGE_LEASE)
-    clock.now += dispatcher.OUTAGE_LEASE
+    sender = make_dispatcher(dispatcher.OUTAGE_LEASE_SECONDS)
+    clock.now += dispatcher.OUTAGE_LEASE_SECONDS
 
-    assert sender.compute_max_granted_lease() == dispatcher.WORKER_LEASE
+    assert sender.compute_max_granted_lease() == dispatcher.WORKER_LEASE_SECONDS
 
 
 class Calls:
--- a/wigeonhitch/pool/tests/test_planner.py
+++ b/wigeonhitch/pool/tests/test_planner.py
@@ -357,7 +357,7 @@
 def test_silent_vm_blocks_a_task_until_its_leases_lapse(bench):
     second = list_two_runs(bench)
     second.is_silent = True
-    lapse = 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN
+    lapse = 6.5 / (1 - vm.MAX_CLOCK_DRIFT) + 0.2 + view.LAPSE_MARGIN_SECONDS
     bench.pool.vms["w3"].last_answer = NOW + lapse
 
     assert bench.start(NOW + lapse - 0.1) == []
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -13,7 +13,7 @@
 """Size of a leader's range of run numbers for each task; the ranges of successive
 leaders don't overlap."""
 
-LAPSE_MARGIN = 0.25
+LAPSE_MARGIN_SECONDS = 0.25
 """Seconds added to a lease's end, clock drift and stop time: times in answers are
 rounded to milliseconds, and a worker's timer may fire late."""
 
@@ -227,7 +227,7 @@
         """Drop the runs and VMs whose leases have certainly expired."""
         seconds_waited = now - self._takeover_time
         longest = self.times.longest_lease * (1 + vm.MAX_CLOCK_DRIFT)
-        grace = self.times.stop_grace + LAPSE_MARGIN
+        grace = self.times.stop_grace + LAPSE_MARGIN_SECONDS
         for machine in list(self.vms.values()):
             # A VM that never answered may still have received a renewal of ours.
             lapsed = machine.is_lapsed(now, grace)
--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -217,7 +217,7 @@
         self, granted_lease: float
     ) -> dependencies.Dependencies:
         bounds = self.settings.bounds
-        max_lease = min(dispatcher.OUTAGE_LEASE, bounds.longest_lease)
+        max_lease = min(dispatcher.OUTAGE_LEASE_SECONDS, bounds.longest_lease)
         return dependencies.Dependencies(
             self._store,
             self._calls,
--- a/wigeonhitch/site/tests/test_two_leaders.py
+++ b/wigeonhitch/site/tests/test_two_leaders.py
@@ -128,7 +128,7 @@
         job = model.Job("j0", "q", "", (model.Step(1, model.Room(1000, 10), 0.2),))
         row = jobs.JobRecord(job, 0.0, False)
         location = compaction.RowLocation("job00", "p.0")
-        await anyio.sleep(pool_runner.MIN_ROUND_INTERVAL * 3)
+        await anyio.sleep(pool_runner.MIN_ROUND_INTERVAL_SECONDS * 3)
         runner.pool.on_job("j0", row, site.store.version + 1, location)
         runner.on_queues(daemon._get_queues())
         daemon._on_leadership_lost("p")
