--- a/wigeonhitch/leadership/core.py
+++ b/wigeonhitch/leadership/core.py
@@ -123,7 +123,7 @@
     Parameters
     ----------
     name, life : str
-        Name of this daemon, and identifier of this run of its process.
+        Name of this daemon, and identifier of this incarnation of it.
     now : float
         This daemon's time at its start.
     cores : float
@@ -389,8 +389,8 @@
         would lead per core, then by a hash, so that the pools of a dead leader are
         spread; each candidate waits for those ranked before it. The leader of a pool
         of 39 VMs at five times its mean load starts some 1,100 tasks per second.
-        Half a core can't keep up with that: first starts then waited 0.2 to 0.5 s
-        although VMs were free.
+        Half a core can't keep up with that: first starts then wait 0.2 to 0.5 s
+        although VMs are free.
         """
         if self.leaving or not self.is_lease_valid(now):
             return []
@@ -549,15 +549,16 @@
         return self._members_store_time > member.until + LEASE_MARGIN_SECONDS
 
     def _is_owned_by_this_incarnation(self, pool: str) -> bool:
-        """Return whether the newest known owner row names this run of this daemon."""
+        """Return whether the newest known owner row names this incarnation."""
         return (
             self._is_owned_by_this_daemon(pool) and self.owners[pool].life == self.life
         )
 
     def _is_owned_by_this_daemon(self, pool: str) -> bool:
-        """Return whether the newest known owner row names this daemon, in any run.
+        """Return whether the newest known owner row names this daemon.
 
-        Its former process ended before this one started, and gives no orders.
+        It may name an earlier incarnation, which ended before this one started and
+        gives no orders.
         """
         owner = self.owners.get(pool)
         return owner is not None and owner.name == self.name
--- a/wigeonhitch/leadership/record.py
+++ b/wigeonhitch/leadership/record.py
@@ -28,7 +28,7 @@
 class Member(NamedTuple):
     """One daemon that holds a lease.
 
-    ``life`` identifies one run of the daemon's process; ``until`` is the end of the
+    ``life`` identifies one incarnation of the daemon; ``until`` is the end of the
     lease on the store's monotonic clock in seconds; ``cores`` are the processor cores
     that the daemon may use; ``version`` is the row's version, which rises with each
     renewal. ``since`` is the time since which the lease has been held without a gap,
--- a/wigeonhitch/maintenance/core.py
+++ b/wigeonhitch/maintenance/core.py
@@ -116,7 +116,7 @@
 
         Orders of two leaders about one VM must be at least a lease apart, so no order
         is given about it up to ``until``. Orders about all other VMs can be given at
-        once: waiting that long for all VMs stopped moves for 3 s at each change of
+        once: waiting that long for all VMs would stop moves for 3 s at each change of
         leader, most of a burst of 4 to 8 s.
         """
         self._blocked_until[vm] = until
@@ -195,10 +195,10 @@
     def list_ended_workers(self) -> list[record.Closing]:
         """Return the workers that have ended and are not marked so yet.
 
-        A worker is one run of its VM. Once the VM is listed as down, moving, under
-        maintenance or with another worker, the former worker never comes back. A VM
-        missing from the list proves nothing: a list that changes between its pages may
-        leave one out.
+        A worker is one incarnation of its VM. Once the VM is listed as down, moving,
+        under maintenance or with another worker, the former worker never comes back. A
+        VM missing from the list proves nothing: a list that changes between its pages
+        may leave one out.
 
         Until the pool's leader learns of the end, it waits for the leases of all tasks
         that ran there; a leader that has just taken over waits for the longest lease
--- a/wigeonhitch/maintenance/demand.py
+++ b/wigeonhitch/maintenance/demand.py
@@ -2,15 +2,12 @@
 
 The load: the queues take turns in asking for five times their mean for some seconds,
 more than a pool holds, and for a twentieth of it in between. Without moves nearly all
-jobs of a burst are late while standby VMs are off. In a model without faults, 0.14 of
-the value of the batch jobs was finished in time with six standby VMs left off, 0.38
-with them spread over the pools, and 0.62 with them moved to the queue with the most
-unmet work (at 1.5 s per move). A VM in a pool costs 0.095 per second and a move 0.11,
-far less than the 1.3 per second that its 32 cores earn.
+jobs of a burst are late while standby VMs are off, so these are moved to the pools with
+the most unmet work. A VM in a pool costs 0.095 per second and a move 0.11, far less
+than the 1.3 per second that its 32 cores earn.
 
 Idle VMs return to the standby pool once their pool has not needed them for a second:
-from there they can be moved faster than out of a pool, where tasks must end first. On
-days without faults that saves some 80 to 180 of 1,000 seconds in pools.
+from there they can be moved faster than out of a pool, where tasks must end first.
 """
 
 from wigeonhitch.maintenance import core, record
@@ -37,9 +34,7 @@
 BACKLOG_FACTOR = 3.0
 """Multiple of the capacity missing in a burst that is requested. It is missing for
 some 2 s until VMs arrive, and the backlog of that time must be worked off within
-another second, since a small job is late after 1.4 s of waiting. On fifteen days with
-faults (30 VMs of 64 cores) this gained 0.035 of the jobs' value, together with moving
-idle VMs first."""
+another second, since a small job is late after 1.4 s of waiting."""
 
 LENDING_DIVISOR = 3
 """A pool between two bursts lends at most one in this many of its initial VMs, so that
@@ -278,10 +273,9 @@
     """Return the VMs of its initial ones that a pool between two bursts can lend.
 
     They run no tasks, so they can move at once, while those of a pool whose burst is
-    ending must finish their tasks first, for up to 4 s. Where a burst asks for more
-    than a pool and the standby VMs hold, lending gained 0.024 of the jobs' value
-    (fifteen days with faults, 30 VMs of 64 cores). It relies on bursts being detected
-    from submitted jobs: without that, a lender detects its own burst too late.
+    ending must finish their tasks first, for up to 4 s. Lending helps where a burst
+    asks for more than a pool and the standby VMs hold. It relies on bursts being
+    detected from submitted jobs: without that, a lender detects its own burst too late.
     """
     status = state.pool_statuses[pool]
     size = _find_max_vm_millicores(state)
--- a/wigeonhitch/pool/priority.py
+++ b/wigeonhitch/pool/priority.py
@@ -1,11 +1,9 @@
 """Order of the jobs of a pool that can't run all of them at once.
 
 Each queue has bursts of some seconds with five times its mean load, more than its
-pool holds, in which first come, first served makes nearly all jobs late. Jobs are
-therefore ordered by core-seconds per unit of value, and those that can't be on time
-any more come later. In a model this completed 0.14 of the value on time, against
-0.04 for first come, first served and 0.05 for earliest deadline first; with pools
-that follow demand 0.62, against 0.27 and 0.31.
+pool holds, in which first come, first served and earliest deadline first make nearly
+all jobs late. Jobs are therefore ordered by core-seconds per unit of value, and those
+that can't be on time any more come later.
 """
 
 from typing import NamedTuple
@@ -22,13 +20,13 @@
 ]
 
 BASE_VALUE = 0.3
-"""Part of a job's value that doesn't depend on its size (users' rules)."""
+"""Part of a job's value that doesn't depend on its size (as specified)."""
 
 MAX_LATENESS = 3.0
-"""Multiple of its objective after which a job has no value (users' rules)."""
+"""Multiple of its objective after which a job has no value (as specified)."""
 
 MAX_JOB_VALUE = 4.0
-"""Largest value of a job, as a multiple of its queue's mean value (users' rules)."""
+"""Largest value of a job, as a multiple of its queue's mean value (as specified)."""
 
 LASTING, ON_TIME, LATE, EXPIRED = 0, 1, 2, 3
 
--- a/wigeonhitch/pool/runner.py
+++ b/wigeonhitch/pool/runner.py
@@ -119,7 +119,7 @@
         self._wake()
 
     def set_closings(self, closed: list[maintenance.Closing], version: int) -> None:
-        """Set the workers to be vacated or ended, as known at a store's version."""
+        """Set the closed and the ended workers, as known at a store's version."""
         self._source.take_closings(closed, version)
 
     def compute_max_granted_lease(self) -> float:
--- a/wigeonhitch/pool/source.py
+++ b/wigeonhitch/pool/source.py
@@ -54,7 +54,7 @@
         self._job_parts = frozenset(pool_record.list_job_parts())
 
     def take_closings(self, closed: list[maintenance.Closing], version: int) -> None:
-        """Set the workers that are to be vacated, or that have ended by an order.
+        """Set the workers that are closed, or that have ended by an order.
 
         Parameters
         ----------
--- a/wigeonhitch/pool/tests/history.py
+++ b/wigeonhitch/pool/tests/history.py
@@ -27,7 +27,7 @@
 START_DEADLINE_SECONDS = dispatcher.START_DEADLINE_SECONDS
 
 
-class Switches(NamedTuple):
+class Mechanisms(NamedTuple):
     """Mechanisms that a test may switch off, so that `check` must find a fault."""
 
     fence: bool = True
@@ -88,13 +88,13 @@
         write = rows.Write(key[0], POOL, key[1], f"{epoch}".encode())
         change = world.store.commit(rows.Transaction((owner,), (write,)))
         fence = change.version
-        if not world.switches.fence:
+        if not world.mechanisms.fence:
             fence = 1
-        if not world.switches.increasing_numbers:
+        if not world.mechanisms.increasing_numbers:
             epoch = 1
         longest = (
             dispatcher.OUTAGE_LEASE_SECONDS
-            if world.switches.wait_after_takeover
+            if world.mechanisms.wait_after_takeover
             else 0.0
         )
         times = view.TimeBounds(longest, 0.0)
@@ -119,7 +119,7 @@
                     worker.id, POOL, worker.id, "", False, ROOM, ("r1",), clock
                 )
                 self.pool.on_worker(entry, now)
-        if not self.world.switches.wait_after_takeover:
+        if not self.world.mechanisms.wait_after_takeover:
             return
         for id, _, version in store.list_rows(pool_record.ROSTER_TABLE):
             self.pool.on_roster(id, id, version, now)
@@ -129,14 +129,14 @@
         now = self.world.now
         if not self.alive or now < self.paused_until or self.pool.deposed:
             return False
-        return now < self.lease_until or not self.world.switches.stop_at_lease_end
+        return now < self.lease_until or not self.world.mechanisms.stop_at_lease_end
 
     def act(self) -> None:
         """Plan one round and send its orders."""
         now = self.world.now
         if not self.may_order():
             return
-        if not self.world.switches.lapse_before_restart:
+        if not self.world.mechanisms.lapse_before_restart:
             for machine in self.pool.vms.values():
                 if machine.is_silent:
                     machine.lease_deadline = 0.0
@@ -152,13 +152,13 @@
 
     def _send_start(self, start: message.Start) -> None:
         run = start.run
-        length = START_DEADLINE_SECONDS if self.world.switches.own_deadline else 60.0
+        length = START_DEADLINE_SECONDS if self.world.mechanisms.own_deadline else 60.0
         run.deadline = run.vm.compute_deadline(self.world.now, length)
         run.vm.record_lease_deadline(
-            run.deadline if self.world.switches.own_deadline else 0.0
+            run.deadline if self.world.mechanisms.own_deadline else 0.0
         )
         order = start.order._replace(deadline=run.deadline)
-        if not self.world.switches.own_deadline:
+        if not self.world.mechanisms.own_deadline:
             run.deadline = run.vm.compute_clock(self.world.now)
         self.world.send_start(self, run, order)
 
@@ -171,7 +171,7 @@
         self.next_hold[machine.id] = now + 1.0
         acknowledged = (
             machine.committed_end
-            if self.world.switches.commit_before_acknowledging
+            if self.world.mechanisms.commit_before_acknowledging
             else machine.processed_end
         )
         self.world.send_hold(self, machine, deadline, acknowledged)
@@ -209,10 +209,10 @@
     """Time, workers, store, leaders and the calls in flight between them."""
 
     def __init__(
-        self, seed: int, switches: Switches, *, fault_rate: float = 1.0
+        self, seed: int, mechanisms: Mechanisms, *, fault_rate: float = 1.0
     ) -> None:
         self.rng = random.Random(seed)
-        self.switches = switches
+        self.mechanisms = mechanisms
         self.fault_rate = fault_rate
         self.now = 100.0
         self.events: list[siteworker.Event] = []
--- a/wigeonhitch/pool/tests/test_history.py
+++ b/wigeonhitch/pool/tests/test_history.py
@@ -11,8 +11,8 @@
 SEEDS = range(20)
 
 
-def simulate(seed, switches=None, seconds=40.0):
-    world = history.World(seed, switches or history.Switches())
+def simulate(seed, mechanisms=None, seconds=40.0):
+    world = history.World(seed, mechanisms or history.Mechanisms())
     world.run(seconds)
     return world
 
@@ -48,6 +48,6 @@
     ],
 )
 def test_check_finds_a_fault_without_mechanism(mechanism):
-    switches = history.Switches()._replace(**{mechanism: False})
+    mechanisms = history.Mechanisms()._replace(**{mechanism: False})
 
-    assert any(history.check(simulate(seed, switches).events) for seed in range(40))
+    assert any(history.check(simulate(seed, mechanisms).events) for seed in range(40))
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -182,7 +182,7 @@
     def set_closed(
         self, ids: frozenset[str], ended: frozenset[str], version: int = 0
     ) -> None:
-        """Set the workers that are to be vacated and those that have ended.
+        """Set the workers that are closed and those that have ended.
 
         All others are open. A set with an older store version than the last one is
         ignored: it would reopen VMs that are already published as empty.
--- a/wigeonhitch/pool/vm.py
+++ b/wigeonhitch/pool/vm.py
@@ -13,7 +13,7 @@
 __all__ = ["MAX_CLOCK_DRIFT", "Run", "RunState", "Vm"]
 
 MAX_CLOCK_DRIFT = 0.02
-"""Fraction by which a worker's clock may be slower than true time (users' rules)."""
+"""Fraction by which a worker's clock may be slower than true time (as specified)."""
 
 STALE_AFTER_SECONDS = 2.0
 """Seconds without an answer after which no task is started on a VM: a hold of an idle
@@ -145,7 +145,7 @@
         self.entry = entry
         self.listed = True
         self.closed = False
-        """Whether it is to be vacated, for maintenance or a move."""
+        """Whether it is closed and drained, for maintenance or a move."""
         self.answered = False
         """Whether it has answered under this leader's fencing token."""
         self.reconciled = False
@@ -221,7 +221,7 @@
         self.lease_deadline = max(self.lease_deadline, deadline)
 
     def is_lapsed(self, now: float, grace: float) -> bool:
-        """Return whether all its runs have ended, given ``grace`` seconds to stop."""
+        """Return whether all runs have certainly ended; ``grace`` is the stop time."""
         return self.compute_clock(now) > self.lease_deadline + grace
 
     def compute_free_room(self) -> model.Room:
--- a/wigeonhitch/site/closings.py
+++ b/wigeonhitch/site/closings.py
@@ -1,4 +1,4 @@
-"""Follows the workers that are to be vacated, while this daemon leads a pool."""
+"""Follows the closed workers, while this daemon leads a pool."""
 
 from collections.abc import Callable
 
@@ -23,7 +23,7 @@
 
 
 class ClosingFollower:
-    """Follows the rows of workers to be vacated.
+    """Follows the rows of closed workers.
 
     Parameters
     ----------
@@ -32,8 +32,8 @@
     is_leading : callable
         Whether this daemon leads a pool; otherwise nothing is read.
     on_change : callable
-        Receives all workers that are to be vacated or were ended by an order, and
-        the store's version at which that is known.
+        Receives all workers that are closed or were ended by an order, and the
+        store's version at which that is known.
     """
 
     def __init__(
--- a/wigeonhitch/site/daemon.py
+++ b/wigeonhitch/site/daemon.py
@@ -33,7 +33,7 @@
     settings : node.NodeSettings
         Settings that the platform gives this process.
     life : str
-        Unique id of this start of the process.
+        Identifier of this incarnation of the daemon.
     """
 
     def __init__(
--- a/wigeonhitch/site/tests/history.py
+++ b/wigeonhitch/site/tests/history.py
@@ -256,10 +256,10 @@
         self.call_later(self.rng.expovariate(0.5), self._restart_daemon)
 
     def draw_delivery(self, process: Any, call: simulation.Call) -> simulation.Delivery:
-        """Draw the fate and the delays of a call."""
+        """Draw the fault and the delays of a call."""
         fault_probability = 0.06 if self._has_faults else 0.0
         late_probability = 3 * fault_probability if call.kind == "commit" else 0.0
-        fates = ("", "refused", "lost", "unanswered", "late")
+        faults = ("", "refused", "lost", "unanswered", "late")
         weights = (
             1 - 3 * fault_probability - late_probability,
             fault_probability,
@@ -267,15 +267,15 @@
             fault_probability,
             late_probability,
         )
-        fate = self.rng.choices(fates, weights)[0]
+        fault = self.rng.choices(faults, weights)[0]
         max_delay = 0.3 if self.rng.random() < 0.2 else 0.01
         request_delay, answer_delay = (
             self.rng.uniform(0.001, max_delay),
             self.rng.uniform(0.001, max_delay),
         )
-        if fate == "late":
+        if fault == "late":
             request_delay = self.rng.uniform(*LATE_SECONDS)
-        return simulation.Delivery(fate, request_delay, answer_delay)
+        return simulation.Delivery(fault, request_delay, answer_delay)
 
     def is_disconnected(self, process: Any) -> bool:
         """Return whether a process can't reach the store."""
--- a/wigeonhitch/site/tests/test_closings.py
+++ b/wigeonhitch/site/tests/test_closings.py
@@ -1,4 +1,4 @@
-"""Which workers are to be vacated, as a pool's leader learns from two sources."""
+"""Which workers are closed, as a pool's leader learns from two sources."""
 
 import pytest
 
@@ -45,7 +45,7 @@
 
 
 def close(store, worker):
-    """Order that a worker be vacated; return the row as a feed delivers it."""
+    """Close a worker; return the row as a feed delivers it."""
     location = (record.CLOSING_TABLE, leadership.FLEET, worker)
     store.put(*location, record.write_closing(record.Closing(worker, worker, 1)))
     return rows.Row(*location, store.get(*location), store.version)
--- a/wigeonhitch/site/tests/test_history.py
+++ b/wigeonhitch/site/tests/test_history.py
@@ -11,7 +11,7 @@
 SEEDS = [*range(30), 24263]
 """The last seed failed when a job ended and was cancelled while its state was read."""
 
-SEEDS_PER_MECHANISM = 30
+MAX_SEEDS = 30
 """Number of seeds of which at least one must fail with a mechanism disabled."""
 
 HISTORY_SECONDS = 20.0
@@ -34,8 +34,6 @@
 
 @pytest.mark.parametrize("mechanism", ["condition", "holder", "removal"])
 def test_a_history_fails_without(mechanism):
-    worlds = (
-        history.World(seed, disabled=mechanism) for seed in range(SEEDS_PER_MECHANISM)
-    )
+    worlds = (history.World(seed, disabled=mechanism) for seed in range(MAX_SEEDS))
 
     assert any(world.run(HISTORY_SECONDS) for world in worlds)
--- a/wigeonhitch/site/tests/test_upkeep.py
+++ b/wigeonhitch/site/tests/test_maintenance.py
@@ -12,7 +12,7 @@
 ORDER = {"wave": 1, "machines": ["vm1"], "duration_s": 20, "ceiling": 1}
 
 
-async def test_a_vm_is_vacated_reported_empty_and_maintained(site, monkeypatch):
+async def test_a_vm_is_drained_reported_empty_and_maintained(site, monkeypatch):
     """The pool's leader learns of the closing and confirms it in the pool's status."""
     maintained = []
     up = fleet.VmState.UP
