--- a/wigeonhitch/fleet/demand.py
+++ b/wigeonhitch/fleet/demand.py
@@ -22,8 +22,8 @@
     Parameters
     ----------
     upper : float
-        Above this share a pool needs another VM: queues grow steeply beyond
-        it, as the measured waiting times of routing show for 90 %.
+        Above this share a pool needs another VM: queues grow steeply beyond it,
+        as at 90 %.
     lower_factor : float
         A pool gives a VM only if its share without that VM would stay below
         ``upper`` times this factor, so that it does not need the VM back.
--- a/wigeonhitch/fleet/move.py
+++ b/wigeonhitch/fleet/move.py
@@ -211,7 +211,7 @@
 def release(
     snapshot: wave.Snapshot, missing: Mapping[str, float]
 ) -> list[change.Change]:
-    """Release VMs that the platform has not listed for `RELEASE_AFTER_SECONDS` seconds.
+    """Release VMs that the platform has not listed for `RELEASE_AFTER_SECONDS`.
 
     Parameters
     ----------
--- a/wigeonhitch/fleet/observer.py
+++ b/wigeonhitch/fleet/observer.py
@@ -1,10 +1,10 @@
 """Reads the fleet's table rows, VM list and health checks into a snapshot.
 
 An idle round costs one table read (the signal row), whatever the size of the
-fleet, and one VM list every `MAX_LIST_INTERVAL_SECONDS` seconds. A round after a
-change adds one scan per prefix, which returns only the changed rows; a round
-during a drain adds one scan of the daemons' rows. Health checks are limited to
-workers that the next decisions depend on.
+fleet, and one VM list every `MAX_LIST_INTERVAL_SECONDS`, or more often in a small
+fleet. A round after a change adds one scan per prefix, which returns only the
+changed rows; a round during a drain adds one scan of the daemons' rows. Health
+checks are limited to workers that the next decisions depend on.
 """
 
 import math
--- a/wigeonhitch/fleet/view.py
+++ b/wigeonhitch/fleet/view.py
@@ -27,7 +27,7 @@
 
 
 class UsableWorkers(NamedTuple):
-    """UsableWorkers workers by pool, and drains, as of a revision of the fleet's rows.
+    """Usable workers by pool, and drains, as of a revision of the fleet's rows.
 
     Parameters
     ----------
--- a/wigeonhitch/placement/calls.py
+++ b/wigeonhitch/placement/calls.py
@@ -101,16 +101,16 @@
     item = entry.job
     if item.cancel or entry.evict:
         return "stop"
-    present = entry.seen.state if entry.seen is not None else None
+    task_state = entry.seen.state if entry.seen is not None else None
     if entry.pausing and not entry.paused_at:
         return "checkpoint"
     if item.paused or entry.pausing:
-        return "checkpoint" if present in (T.RUNNING, T.THROTTLED) else ""
-    if present is T.CHECKPOINTED:
+        return "checkpoint" if task_state in (T.RUNNING, T.THROTTLED) else ""
+    if task_state is T.CHECKPOINTED:
         return "resume"
-    if entry.throttle and present is T.RUNNING:
+    if entry.throttle and task_state is T.RUNNING:
         return "throttle"
-    return "resume" if present is T.THROTTLED and not entry.throttle else ""
+    return "resume" if task_state is T.THROTTLED and not entry.throttle else ""
 
 
 def record_answer(
@@ -130,7 +130,7 @@
     shard.unreconciled.add(call.name)
     entry.sealed = entry.sealed or outcome is table.Outcome.DONE
     if call.action == "start":
-        _answer_start(shard, entry, call, outcome, now)
+        _record_start_answer(shard, entry, call, outcome, now)
         return
     done = outcome is table.Outcome.DONE
     entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
@@ -151,7 +151,7 @@
         entry.seen = entry.seen._replace(state=resulting_states[call.action])
 
 
-def _answer_start(
+def _record_start_answer(
     shard: state.ShardState,
     entry: attempt.Attempt,
     call: Call,
--- a/wigeonhitch/placement/size.py
+++ b/wigeonhitch/placement/size.py
@@ -126,13 +126,13 @@
 
         Examples
         --------
-        >>> learner = SizeEstimator()
-        >>> learner.estimate("pairing", 8.0, 32.0)
+        >>> estimator = SizeEstimator()
+        >>> estimator.estimate("pairing", 8.0, 32.0)
         (8.0, 32.0)
         >>> for _ in range(8):
-        ...     learner.add_cores("pairing", 1.0)
-        ...     learner.add_memory("pairing", 4.0)
-        >>> learner.estimate("pairing", 8.0, 32.0)
+        ...     estimator.add_cores("pairing", 1.0)
+        ...     estimator.add_memory("pairing", 4.0)
+        >>> estimator.estimate("pairing", 8.0, 32.0)
         (1.0, 4.9)
         """
         peaks = self._peaks.get(kind)
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -230,8 +230,8 @@
         ``floor``.
         """
         asked = item.asked
-        family = asked.sizing_key
-        cores, memory = self.estimator.estimate(family, asked.cores, asked.memory)
+        sizing_key = asked.sizing_key
+        cores, memory = self.estimator.estimate(sizing_key, asked.cores, asked.memory)
         cores = max(cores, MIN_SIZE[0])
         memory = max(memory, item.floor, MIN_SIZE[1])
         limits = self.max_size(item)
