--- a/wigeonhitch/placement/attempt.py
+++ b/wigeonhitch/placement/attempt.py
@@ -66,30 +66,30 @@
         The record and the version of its row, as last read or committed.
     calls : int
         Start calls that this holder has made for the current attempt.
-    unsure : bool
+    start_unconfirmed : bool
         A start call may still be in flight: its answer was lost, or an earlier
         holder committed the start.
-    known : bool
+    known_to_platform : bool
         The platform knows the task: a start succeeded, or the task was listed.
     refused : bool
         The last start call was certainly not carried out.
-    flying : bool
+    call_in_flight : bool
         A call is in flight.
     retry_at : float
         Earliest time of the next call.
-    touched : float
+    last_answer_at : float
         Time of the last answer to a call or renewal; no lease that this holder
         requested lasts beyond it by more than TASK_LEASE_SECONDS.
-    sealed : bool
+    is_fenced : bool
         The platform has this holder's fencing token for the task, so no
         earlier holder can start or renew it.
-    seen, seen_at
+    listed, listed_at
         The task as last listed, and when that list was requested.
     sampled_cores, sampled_memory : bool
         The size estimator already has this attempt's cores or memory.
     unlisted : bool
         The last list did not contain the task.
-    acted_at : float
+    controlled_at : float
         When a control call last succeeded; lists requested earlier are stale.
     evict, pausing, throttle : bool
         The task is to be stopped, checkpointed or throttled.
@@ -97,59 +97,59 @@
         When the platform confirmed the checkpoint; 0 before that.
     peak : tuple of float
         Highest cores and memory (GB) listed for this attempt.
-    wait, wait_at, told_at
+    wait_reason, wait_since, reason_written_at
         Why the job waits, since when, and when the reason was last written to
         its row.
     """
 
     __slots__ = (
-        "acted_at",
+        "call_in_flight",
         "calls",
+        "controlled_at",
         "evict",
-        "flying",
+        "is_fenced",
         "job",
-        "known",
+        "known_to_platform",
+        "last_answer_at",
+        "listed",
+        "listed_at",
         "paused_at",
         "pausing",
         "peak",
+        "reason_written_at",
         "refused",
         "retry_at",
-        "sealed",
         "sampled_cores",
         "sampled_memory",
-        "seen",
-        "seen_at",
+        "start_unconfirmed",
         "throttle",
-        "told_at",
-        "touched",
         "unlisted",
-        "unsure",
         "version",
-        "wait",
-        "wait_at",
+        "wait_reason",
+        "wait_since",
     )
 
     def __init__(self, item: job.Job, version: int, fence: int):
         self.job = item
         self.version = version
-        self.wait = ""
-        self.wait_at = item.since
-        self.told_at = 0.0
-        self.reset(unsure=item.state in job.HOLDING and item.fence != fence)
+        self.wait_reason = ""
+        self.wait_since = item.since
+        self.reason_written_at = 0.0
+        self.reset(start_unconfirmed=item.state in job.HOLDING and item.fence != fence)
 
-    def reset(self, *, unsure: bool) -> None:
+    def reset(self, *, start_unconfirmed: bool) -> None:
         """Clear what is known of the previous attempt."""
         self.calls = 0
-        self.unsure = unsure
-        self.known = self.job.state is job.JobState.RUNNING
+        self.start_unconfirmed = start_unconfirmed
+        self.known_to_platform = self.job.state is job.JobState.RUNNING
         self.refused = False
-        self.flying = False
+        self.call_in_flight = False
         self.retry_at = 0.0
-        self.touched = 0.0
-        self.acted_at = 0.0
-        self.sealed = False
-        self.seen: tasks.Task | None = None
-        self.seen_at = 0.0
+        self.last_answer_at = 0.0
+        self.controlled_at = 0.0
+        self.is_fenced = False
+        self.listed: tasks.Task | None = None
+        self.listed_at = 0.0
         self.unlisted = False
         self.sampled_cores = False
         self.sampled_memory = False
@@ -162,12 +162,12 @@
     @property
     def result(self) -> AttemptResult | None:
         """Result of the attempt as listed by the platform, or None."""
-        return classify(self.seen) if self.seen is not None else None
+        return classify(self.listed) if self.listed is not None else None
 
     @property
     def is_alive(self) -> bool:
         """Whether the last list showed the task alive."""
-        return self.seen is not None and self.seen.state in ALIVE
+        return self.listed is not None and self.listed.state in ALIVE
 
     def has_lapsed(self, now: float) -> bool:
         """Whether an unlisted task is over because its lease has lapsed.
@@ -175,14 +175,14 @@
         Applies only to a task that the platform knew: a start that may still
         be in flight is resolved by starting the same name again, never by time.
         """
-        if not (self.unlisted and self.known and self.sealed):
+        if not (self.unlisted and self.known_to_platform and self.is_fenced):
             return False
         return (
-            not self.flying
-            and now >= self.touched + TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
+            not self.call_in_flight
+            and now >= self.last_answer_at + TASK_LEASE_SECONDS + LEASE_MARGIN_SECONDS
         )
 
     def was_never_sent(self, fence: int) -> bool:
         """Whether no start call of this attempt was made or can still arrive."""
-        own = self.job.fence == fence and not self.unsure
-        return own and not self.known and (self.calls == 0 or self.refused)
+        own = self.job.fence == fence and not self.start_unconfirmed
+        return own and not self.known_to_platform and (self.calls == 0 or self.refused)
--- a/wigeonhitch/placement/calls.py
+++ b/wigeonhitch/placement/calls.py
@@ -52,9 +52,9 @@
         if not action:
             shard.pending_calls.discard(name)
             continue
-        if entry.flying or entry.retry_at > now:
+        if entry.call_in_flight or entry.retry_at > now:
             continue
-        entry.flying = True
+        entry.call_in_flight = True
         due_calls.append(_make_call(shard, entry, action))
     return due_calls
 
@@ -88,8 +88,8 @@
     if item.state is S.STARTING:
         vm = shard.vms.get(item.vm)
         is_usable = vm is not None and vm.usable
-        must_resolve = entry.unsure
-        if entry.known or entry.refused or not is_usable:
+        must_resolve = entry.start_unconfirmed
+        if entry.known_to_platform or entry.refused or not is_usable:
             return ""
         return "" if item.cancel and not must_resolve and entry.calls == 0 else "start"
     if item.state is not S.RUNNING or entry.result is not None:
@@ -101,7 +101,7 @@
     item = entry.job
     if item.cancel or entry.evict:
         return "stop"
-    present = entry.seen.state if entry.seen is not None else None
+    present = entry.listed.state if entry.listed is not None else None
     if entry.pausing and not entry.paused_at:
         return "checkpoint"
     if item.paused or entry.pausing:
@@ -120,15 +120,15 @@
     entry = shard.jobs.get(call.name)
     if entry is None or entry.job.attempt != call.attempt:
         return
-    entry.flying = False
+    entry.call_in_flight = False
     shard.pending_calls.add(call.name)
     if outcome is None:
         entry.calls -= call.action == "start"
         entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
         return
-    entry.touched = max(entry.touched, now)
+    entry.last_answer_at = max(entry.last_answer_at, now)
     shard.unreconciled.add(call.name)
-    entry.sealed = entry.sealed or outcome is table.Outcome.DONE
+    entry.is_fenced = entry.is_fenced or outcome is table.Outcome.DONE
     if call.action == "start":
         _answer_start(shard, entry, call, outcome, now)
         return
@@ -136,7 +136,7 @@
     entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
     if not done:
         return
-    entry.acted_at = now
+    entry.controlled_at = now
     if call.action == "stop":
         entry.retry_at = now + STOP_RETRY_SECONDS
         return
@@ -148,7 +148,7 @@
         "resume": T.RUNNING,
     }
     if entry.is_alive:
-        entry.seen = entry.seen._replace(state=resulting_states[call.action])
+        entry.listed = entry.listed._replace(state=resulting_states[call.action])
 
 
 def _answer_start(
@@ -159,11 +159,11 @@
     now: float,
 ) -> None:
     if outcome is table.Outcome.DONE:
-        entry.known = True
+        entry.known_to_platform = True
         return
     entry.retry_at = now + attempt.RETRY_DELAY_SECONDS
     if outcome is table.Outcome.UNKNOWN:
-        entry.unsure = True
+        entry.start_unconfirmed = True
         return
     entry.refused = True
     shard.dirty_pools.add(entry.job.asked.pool)
@@ -185,13 +185,13 @@
         if entry is None or entry.job.attempt != number:
             continue
         present.add(name)
-        if at >= entry.seen_at:
+        if at >= entry.listed_at:
             _record_task(shard, entry, task, at)
     for vm in vms:
         for name in shard.on_vm.get(vm, ()):
             entry = shard.jobs[name]
-            if name not in present and at >= entry.seen_at and entry.result is None:
-                entry.seen = None
+            if name not in present and at >= entry.listed_at and entry.result is None:
+                entry.listed = None
                 entry.unlisted = True
                 shard.unreconciled.add(name)
     shard.update_overrun(vms)
@@ -203,13 +203,13 @@
     shard: state.ShardState, entry: attempt.Attempt, task: tasks.Task, at: float
 ) -> None:
     ended = attempt.classify(task) is not None
-    if entry.result is not None or (not ended and at < entry.acted_at):
+    if entry.result is not None or (not ended and at < entry.controlled_at):
         return
     name = entry.job.name
-    entry.seen = task
-    entry.seen_at = at
+    entry.listed = task
+    entry.listed_at = at
     entry.unlisted = False
-    entry.known = True
+    entry.known_to_platform = True
     entry.peak = (
         max(entry.peak[0], task.used_cores),
         max(entry.peak[1], task.used_memory),
@@ -240,16 +240,16 @@
     bulk = [entry for entry in alive if not entry.job.is_urgent and not entry.pausing]
     if worker is None or not bulk:
         return
-    memory = sum(entry.seen.used_memory for entry in alive)
+    memory = sum(entry.listed.used_memory for entry in alive)
     if memory > MAX_MEMORY_SHARE * worker.memory and len(alive) > 1:
-        worst = max(bulk, key=lambda e: e.seen.used_memory - e.job.memory)
-        if worst.seen.used_memory > worst.job.memory:
+        worst = max(bulk, key=lambda e: e.listed.used_memory - e.job.memory)
+        if worst.listed.used_memory > worst.job.memory:
             worst.pausing = True
             shard.counters["checkpoints"] += 1
             shard.pending_calls.add(worst.job.name)
-    cores = sum(entry.seen.used_cores for entry in alive)
+    cores = sum(entry.listed.used_cores for entry in alive)
     if cores > MAX_CORES_SHARE * worker.cores and len(bulk) < len(alive):
-        worst = max(bulk, key=lambda e: e.seen.used_cores - e.job.cores)
+        worst = max(bulk, key=lambda e: e.listed.used_cores - e.job.cores)
         worst.throttle = True
         shard.counters["throttles"] += 1
         shard.pending_calls.add(worst.job.name)
@@ -284,6 +284,6 @@
         name, number = job.split_task(task)
         entry = shard.jobs.get(name)
         if entry is not None and entry.job.attempt == number:
-            entry.touched = max(entry.touched, now)
-            entry.sealed = entry.sealed or outcome is table.Outcome.DONE
+            entry.last_answer_at = max(entry.last_answer_at, now)
+            entry.is_fenced = entry.is_fenced or outcome is table.Outcome.DONE
             shard.unreconciled.add(name)
--- a/wigeonhitch/placement/core.py
+++ b/wigeonhitch/placement/core.py
@@ -109,7 +109,7 @@
     def _sweep(self) -> None:
         for name, entry in self.state.jobs.items():
             item = entry.job
-            is_unseen = item.state is job.JobState.RUNNING and entry.seen is None
+            is_unseen = item.state is job.JobState.RUNNING and entry.listed is None
             is_first = item.state is job.JobState.QUEUED and item.attempt == 1
             leaving = item.vm in self.state.unusable_since
             starting = item.state is job.JobState.STARTING
--- a/wigeonhitch/placement/reassignment.py
+++ b/wigeonhitch/placement/reassignment.py
@@ -57,7 +57,7 @@
             item = entry.job
             if item.state is not job.JobState.STARTING or item.asked.pool != pool:
                 continue
-            needs_worker = entry.refused or (not usable and not entry.flying)
-            if entry.unsure and not entry.known and needs_worker:
+            needs_worker = entry.refused or (not usable and not entry.call_in_flight)
+            if entry.start_unconfirmed and not entry.known_to_platform and needs_worker:
                 unconfirmed.append(name)
     return sorted(unconfirmed)
--- a/wigeonhitch/placement/reconciliation.py
+++ b/wigeonhitch/placement/reconciliation.py
@@ -75,7 +75,7 @@
     if item.state not in job.HOLDING:
         return None
     if entry.result is not None:
-        return _end_attempt(shard, entry, entry.result, entry.seen.reason, now)
+        return _end_attempt(shard, entry, entry.result, entry.listed.reason, now)
     if entry.has_lapsed(now):
         return _end_attempt(
             shard, entry, attempt.AttemptResult.LOST, "its lease lapsed", now
@@ -129,7 +129,7 @@
     shard: state.ShardState, entry: attempt.Attempt, now: float
 ) -> job.Job | None:
     item = entry.job
-    if entry.known:
+    if entry.known_to_platform:
         return item._replace(state=S.RUNNING, fence=shard.fence, reason="", since=now)
     if not entry.was_never_sent(shard.fence):
         return None
@@ -138,7 +138,7 @@
     if entry.refused:
         return _requeue(item, item.attempt, f"{item.vm} refused the start", now)
     vm = shard.vms.get(item.vm)
-    if not entry.flying and (vm is None or not vm.usable):
+    if not entry.call_in_flight and (vm is None or not vm.usable):
         return _requeue(item, item.attempt, f"{item.vm} is leaving", now)
     return None
 
@@ -152,7 +152,7 @@
         return item._replace(paused=True, reason="made room", since=now)
     if entry.is_alive and (reduced := reclaim_unused(entry)) is not None:
         return reduced
-    if entry.is_alive and entry.seen.vm != item.vm:
+    if entry.is_alive and entry.listed.vm != item.vm:
         entry.evict = item.asked.rerun
         shard.pending_calls.add(item.name)
     if item.asked.rerun and _should_restart(shard, entry, now):
@@ -189,7 +189,7 @@
     bulk is checkpointed before memory runs out.
     """
     item = entry.job
-    if not item.holds or entry.seen.progress < MIN_RECLAIM_PROGRESS:
+    if not item.holds or entry.listed.progress < MIN_RECLAIM_PROGRESS:
         return None
     used_cores, used_memory = entry.peak
     if used_cores <= 0 or used_memory <= 0:
@@ -207,7 +207,7 @@
 def sample_usage(shard: state.ShardState, entry: attempt.Attempt, now: float) -> None:
     """Add a task's usage to the estimator: cores early, memory late in its run."""
     item = entry.job
-    progress = entry.seen.progress
+    progress = entry.listed.progress
     cores, memory = entry.peak
     kind = item.asked.sizing_key
     if progress >= CORES_SAMPLE_PROGRESS and cores > 0 and not entry.sampled_cores:
--- a/wigeonhitch/placement/scheduling.py
+++ b/wigeonhitch/placement/scheduling.py
@@ -229,9 +229,9 @@
             self._hold_worker(entry.job, need)
 
     def _record_wait(self, entry: attempt.Attempt, reason: str) -> None:
-        if entry.wait != reason:
-            entry.wait = reason
-            entry.wait_at = self.now
+        if entry.wait_reason != reason:
+            entry.wait_reason = reason
+            entry.wait_since = self.now
         self.waiting.append(entry)
 
     def _hold_worker(self, item: job.Job, need: tuple[float, float]) -> None:
@@ -364,17 +364,19 @@
             queued = item.state is job.JobState.QUEUED
             if (
                 not queued
-                or item.reason == entry.wait
+                or item.reason == entry.wait_reason
                 or written >= MAX_REASONS_PER_STEP
             ):
                 continue
             earliest = item.submitted + REASON_DELAY_SECONDS
-            if now < max(earliest, entry.told_at + MIN_REASON_INTERVAL_SECONDS):
+            if now < max(
+                earliest, entry.reason_written_at + MIN_REASON_INTERVAL_SECONDS
+            ):
                 continue
-            entry.told_at = now
+            entry.reason_written_at = now
             dirty = item.asked.pool in shard.dirty_pools
             shard.apply_change(
-                entry, item._replace(reason=entry.wait, since=entry.wait_at)
+                entry, item._replace(reason=entry.wait_reason, since=entry.wait_since)
             )
             written += 1
             if not dirty:
--- a/wigeonhitch/placement/selection.py
+++ b/wigeonhitch/placement/selection.py
@@ -140,7 +140,7 @@
 
 def find_slack(entry: attempt.Attempt, now: float) -> float:
     """Return how many seconds a running job may pause; negative when late."""
-    progress = entry.seen.progress if entry.seen is not None else 0.0
+    progress = entry.listed.progress if entry.listed is not None else 0.0
     remaining = entry.job.asked.duration * (1.0 - min(1.0, progress))
     if now > entry.job.due:
         return -1.0
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -155,7 +155,9 @@
         if (new.attempt, new.vm) != (old.attempt, old.vm) and (
             new.attempt != old.attempt or old.state is QUEUED
         ):
-            entry.reset(unsure=new.state in job.HOLDING and new.fence != self.fence)
+            entry.reset(
+                start_unconfirmed=new.state in job.HOLDING and new.fence != self.fence
+            )
         self._index(new)
 
     def _index(self, item: job.Job) -> None:
@@ -208,8 +210,8 @@
             for name in self.on_vm.get(vm, ()):
                 entry = self.jobs[name]
                 if entry.job.holds and entry.is_alive:
-                    cores += max(0.0, entry.seen.used_cores - entry.job.cores)
-                    memory += max(0.0, entry.seen.used_memory - entry.job.memory)
+                    cores += max(0.0, entry.listed.used_cores - entry.job.cores)
+                    memory += max(0.0, entry.listed.used_memory - entry.job.memory)
             self.overrun[vm] = (cores, memory)
 
     def free_capacity(self, vm: str) -> tuple[float, float]:
--- a/wigeonhitch/placement/tests/test_controller.py
+++ b/wigeonhitch/placement/tests/test_controller.py
@@ -239,7 +239,7 @@
     core = world.get_controller("d1").core
     tasks = []
     for name, (cores, memory) in usage.items():
-        seen = core.state.jobs[f"coffee/{name}"].seen
+        seen = core.state.jobs[f"coffee/{name}"].listed
         tasks.append(seen._replace(used_cores=cores, used_memory=memory))
     core.update_tasks(tasks, ["w0"], world.fake.now)
     return {(call.action, call.name) for call in core.next_calls(world.fake.now)}
