--- a/wigeonhitch/pool/core.py
+++ b/wigeonhitch/pool/core.py
@@ -93,8 +93,8 @@
     def _confirm_start(self, run: vm.Run, now: float) -> None:
         if run.state is not vm.RunState.STOPPING:
             run.state = vm.RunState.RUNNING
-        run.since = now
-        run.moved = run.mark_at = run.vm.compute_clock(now)
+        run.started_at = now
+        run.last_progress_clock = run.rate_start_clock = run.vm.compute_clock(now)
         state = self.jobs.get(run.task.job)
         if state is not None and not state.started:
             state.started = True
@@ -140,7 +140,7 @@
             return
         self.changed_jobs.add(end.task.job)
         step = state.job.steps[end.task.step]
-        run_seconds = now - run.since if is_own_run else SHORT_RUN_SECONDS
+        run_seconds = now - run.started_at if is_own_run else SHORT_RUN_SECONDS
         if (not step.lasting or run_seconds < SHORT_RUN_SECONDS) and machine.record_end(
             end.end, now
         ):
@@ -209,7 +209,7 @@
                 if reply.clock > run.deadline:
                     self.log_event("start did not take place", **view.describe_run(run))
                     self.remove_run(run)
-            elif run.since < reply.sent:
+            elif run.started_at < reply.sent:
                 self.log_event("run no longer listed", **view.describe_run(run))
                 self.remove_run(run)
         orphaned = [e for e in listed.values() if not self._adopt(machine, e, now)]
@@ -259,7 +259,7 @@
         step = state.job.steps[entry.task.step]
         run = machine.adopt(entry, step, now)
         run.load = entry.load
-        run.sure_from = now + self.times.stop_grace + ADOPTION_GRACE_SECONDS
+        run.confirmed_from = now + self.times.stop_grace + ADOPTION_GRACE_SECONDS
         self.live[entry.task] = run
         state.started = True
         state.record_checkpoint(entry.task, entry.checkpoint)
--- a/wigeonhitch/pool/health.py
+++ b/wigeonhitch/pool/health.py
@@ -47,7 +47,7 @@
         return False
     if run.step.gang or run.step.fills:
         return False  # other tasks determine its pace
-    stalled = run.vm.reported_clock - run.moved
+    stalled = run.vm.reported_clock - run.last_progress_clock
     if run.step.lasting:
         return run.work < 100 and stalled > LASTING_STUCK_AFTER
     return stalled > STUCK_AFTER
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -158,7 +158,7 @@
         stops = []
         for run in list(self.pool.live.values()):
             if run.state is vm.RunState.STOPPING:
-                if now - run.stop_sent > STOP_RETRY_SECONDS:
+                if now - run.stop_sent_at > STOP_RETRY_SECONDS:
                     stops.append(self._stop(run, now))
             elif run.state is not vm.RunState.RUNNING:
                 continue
@@ -210,7 +210,7 @@
 
     def _stop(self, run: vm.Run, now: float) -> message.Stop:
         run.state = vm.RunState.STOPPING
-        run.stop_sent = now
+        run.stop_sent_at = now
         return message.Stop(run.vm, run.task, run.number)
 
     def _must_vacate(self, run: vm.Run, placer: placement.Placer) -> bool:
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -304,9 +304,9 @@
 
     def record_degraded_run(self, run: vm.Run, reason: str, now: float) -> None:
         """Record that a run is stuck or slow; its VM may be quarantined for it."""
-        if run.is_sick:
+        if run.is_degraded:
             return
-        run.is_sick = True
+        run.is_degraded = True
         self.log_event(
             "run degraded", reason=reason, work=run.work, **describe_run(run)
         )
--- a/wigeonhitch/pool/vm.py
+++ b/wigeonhitch/pool/vm.py
@@ -59,29 +59,30 @@
 class Run:
     """One start of a task on a VM.
 
-    ``deadline`` is the worker's time after which it refuses the start, ``since`` this
-    daemon's time of the answer to the start, and ``moved`` the worker's time of the
-    last progress. ``work`` is the progress in percent; ``mark_at`` and ``mark_work``
-    begin the current measurement of ``rate``.
+    ``deadline`` is the worker's time after which it refuses the start, ``started_at``
+    this daemon's time of the answer to the start, and ``last_progress_clock`` the
+    worker's time of the last progress. ``work`` is the progress in percent;
+    ``rate_start_clock`` and ``rate_start_work`` begin the current measurement of
+    ``rate``.
     """
 
     __slots__ = (
         "adopted",
+        "confirmed_from",
         "deadline",
-        "is_sick",
+        "is_degraded",
+        "last_progress_clock",
         "load",
-        "moved",
         "number",
-        "mark_at",
-        "mark_work",
         "pace",
         "rate",
+        "rate_start_clock",
+        "rate_start_work",
         "room",
-        "since",
+        "started_at",
         "state",
-        "sure_from",
         "step",
-        "stop_sent",
+        "stop_sent_at",
         "task",
         "vm",
         "work",
@@ -97,36 +98,36 @@
         self.room = step.reserved
         self.state = RunState.STARTING
         self.deadline = 0.0
-        self.since = now
-        self.moved = 0.0
+        self.started_at = now
+        self.last_progress_clock = 0.0
         self.work = 0.0
         self.load = 0.0
         self.pace = 100
         self.rate: float | None = None
-        self.mark_at = 0.0
-        self.mark_work = 0.0
-        self.stop_sent = 0.0
+        self.rate_start_clock = 0.0
+        self.rate_start_work = 0.0
+        self.stop_sent_at = 0.0
         self.adopted = False
-        self.is_sick = False
-        self.sure_from = 0.0
+        self.is_degraded = False
+        self.confirmed_from = 0.0
         """This daemon's time from which a listing shows that the run isn't being
         stopped by an earlier leader."""
 
     def record_work(self, work: float, clock: float) -> None:
         """Record the progress at a worker's time and update the rate."""
         if work != self.work:
-            self.moved = clock
+            self.last_progress_clock = clock
         self.work = work
-        passed = clock - self.mark_at
+        passed = clock - self.rate_start_clock
         if passed >= RATE_WINDOW_SECONDS:
-            self.rate = (work - self.mark_work) / passed
-            self.mark_at, self.mark_work = clock, work
+            self.rate = (work - self.rate_start_work) / passed
+            self.rate_start_clock, self.rate_start_work = clock, work
 
     @property
     def is_at_work(self) -> bool:
         """Whether a lasting task is known to be fully available."""
         is_running = self.state is RunState.RUNNING and not self.vm.is_silent
-        is_confirmed = self.vm.last_answer >= self.sure_from
+        is_confirmed = self.vm.last_answer >= self.confirmed_from
         return is_running and is_confirmed and self.work >= 100
 
 
@@ -300,8 +301,8 @@
         """Adopt a run that an earlier leader started."""
         run = Run(listed.task, listed.run, self, step, now)
         run.state = RunState.RUNNING
-        run.moved = run.mark_at = self.reported_clock
-        run.work = run.mark_work = listed.work
+        run.last_progress_clock = run.rate_start_clock = self.reported_clock
+        run.work = run.rate_start_work = listed.work
         run.adopted = True
         if step.fills and step.lasting:
             run.pace = int(listed.work)
