--- a/wigeonhitch/fleet/batch.py
+++ b/wigeonhitch/fleet/batch.py
@@ -65,7 +65,7 @@
     changes: dict[str, change.Change] = {}
     waiting: dict[str, str] = {}
     for wave_spec in snapshot.document.waves if waves is None else waves:
-        closed_reason = wave.tell_closed(
+        closed_reason = wave.find_stop_obstacle(
             snapshot, wave_spec, snapshot.limits.stop_estimate
         )
         if closed_reason:
@@ -82,7 +82,7 @@
                 waiting.setdefault(f"{wave_spec.name}/{row.pool}", refusal.reason)
                 continue
             budgets[row.pool] = budgets[row.pool].take(row.vm, domain)
-            new_row = wave.set_state(
+            new_row = wave.with_state(
                 row, VmState.DRAINING, snapshot, wave=wave_spec.name
             )
             why = f"wave {wave_spec.name}: {wave_spec.reason}"
--- a/wigeonhitch/fleet/move.py
+++ b/wigeonhitch/fleet/move.py
@@ -122,7 +122,7 @@
     borrowers: list[str] = []
     rows_by_pool = snapshot.group_rows()
     for wave_spec in snapshot.document.waves:
-        if wave.tell_closed(snapshot, wave_spec, snapshot.limits.stop_estimate):
+        if wave.find_stop_obstacle(snapshot, wave_spec, snapshot.limits.stop_estimate):
             continue
         pending = {
             row.pool for row in batch.list_pending(snapshot, wave_spec, rows_by_pool)
--- a/wigeonhitch/fleet/wave.py
+++ b/wigeonhitch/fleet/wave.py
@@ -34,7 +34,7 @@
 from wigeonhitch.platform import machines
 
 __all__ = ["DEFAULT_LIMITS", "Limits", "Snapshot", "advance", "find_pending_reboots"]
-__all__ += ["find_unconfirmed", "set_state", "tell_closed"]
+__all__ += ["find_stop_obstacle", "find_unconfirmed", "with_state"]
 
 VmState = state.VmState
 Step = change.Step
@@ -114,7 +114,7 @@
         }
 
 
-def tell_closed(
+def find_stop_obstacle(
     snapshot: Snapshot, wave: document.Wave | None, margin: float = 0.0
 ) -> str:
     """Return why a wave may not stop VMs now; empty when it may."""
@@ -133,7 +133,7 @@
     return ""
 
 
-def set_state(
+def with_state(
     row: state.VmRow, to: VmState, snapshot: Snapshot, **fields: object
 ) -> state.VmRow:
     """Return ``row`` with a new state, entered now."""
@@ -190,7 +190,7 @@
 
 def give_back(row: state.VmRow, snapshot: Snapshot, why: str) -> change.Change:
     """Return the change that cancels a drain and frees its share of the budget."""
-    new_row = set_state(row, VmState.UP, snapshot, wave="", target="")
+    new_row = with_state(row, VmState.UP, snapshot, wave="", target="")
     return change.Change(Step.GIVE_BACK, new_row, why)
 
 
@@ -204,7 +204,9 @@
     observation = snapshot.observation
     if row.vm not in observation.machines and observation.as_of > row.since:
         return mark_down(snapshot, row, "left the platform's list while draining"), ""
-    closed_reason = tell_closed(snapshot, waves.get(row.wave)) if row.wave else ""
+    closed_reason = (
+        find_stop_obstacle(snapshot, waves.get(row.wave)) if row.wave else ""
+    )
     if row.target and row.target not in budgets:
         closed_reason = f"pool {row.target} is not in the accepted document"
     if closed_reason:
@@ -275,16 +277,16 @@
 def stop_drained(snapshot: Snapshot, row: state.VmRow) -> change.Change:
     """Return the change that reboots or moves a fully drained VM."""
     if row.target:
-        new_row = set_state(row, VmState.UP, snapshot, pool=row.target, target="")
+        new_row = with_state(row, VmState.UP, snapshot, pool=row.target, target="")
         return change.Change(Step.ARRIVE, new_row, f"moved from pool {row.pool}")
     boot = snapshot.observation.machines[row.vm].boot
-    new_row = set_state(row, VmState.REBOOTING, snapshot, boot=boot)
+    new_row = with_state(row, VmState.REBOOTING, snapshot, boot=boot)
     return change.Change(Step.REBOOT, new_row, f"drained at {row.version}, boot {boot}")
 
 
 def mark_down(snapshot: Snapshot, row: state.VmRow, why: str) -> change.Change:
     """Return the change that marks a VM down; its wave continues without it."""
-    new_row = set_state(
+    new_row = with_state(
         row, VmState.DOWN, snapshot, target="", done=list_done_waves(row, snapshot)
     )
     return change.Change(Step.LOSE, new_row, why)
@@ -298,12 +300,12 @@
     machine = observation.machines.get(row.vm)
     has_booted = machine is not None and machine.boot > row.boot
     if row.state is VmState.REBOOTING and has_booted and observation.is_live(row.vm):
-        new_row = set_state(row, VmState.CHECKING, snapshot)
+        new_row = with_state(row, VmState.CHECKING, snapshot)
         return change.Change(Step.CHECK, new_row, f"boot {machine.boot}"), ""
     is_rebooting = row.state is VmState.REBOOTING
     if not is_rebooting and has_booted and observation.is_serving(row.vm):
         done = list_done_waves(row, snapshot)
-        new_row = set_state(
+        new_row = with_state(
             row, VmState.UP, snapshot, wave="", boot=state.NO_BOOT, done=done
         )
         return change.Change(Step.RETURN, new_row, "health check passed"), ""
