--- a/wigeonhitch/fleet/tests/test_history.py
+++ b/wigeonhitch/fleet/tests/test_history.py
@@ -295,3 +295,21 @@
     stateful_step_count=40,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
+
+
+def test_waves_end_in_time_after_a_daemon_is_lost_and_a_pool_shrinks():
+    """A VM was still rebooting for its wave after the 40 rounds of the check.
+
+    The first drains wait 78 s until the lost daemon has certainly no requests in
+    progress. The pool of the second wave is left with four VMs, of which three must
+    be up, so its VMs stop one after the other.
+    """
+    race = Race()
+    race.check()
+    race.ask(wave="x", status="running")
+    race.check()
+    race.kill_daemon()
+    race.check()
+    race.resize(size=4)
+    race.check()
+    race.teardown()
--- a/wigeonhitch/placement/tests/test_history.py
+++ b/wigeonhitch/placement/tests/test_history.py
@@ -181,3 +181,18 @@
         suppress_health_check=list(hypothesis.HealthCheck),
     )
     stateful.run_state_machine_as_test(History, settings=settings)
+
+
+def test_unconfirmed_start_is_repeated_after_its_worker_has_rebooted(make_world):
+    """A job stayed in state STARTING for ever, although its worker was usable.
+
+    A daemon commits the start and makes no call, and the worker reboots. The next
+    holder drops the pending call while the worker is away, and no other worker has
+    room. Once the worker is back, nothing adds the call again.
+    """
+    History.make = staticmethod(make_world)
+    history = History()
+    history.step(calls=False, daemon="d1")
+    history.reboot(vm="w0")
+    history.reboot(vm="w1")
+    history.teardown()
