--- a/standins/demo/contact.py
+++ b/standins/demo/siteclient.py
@@ -1,4 +1,4 @@
-"""Where the processes of a running system are reached, and how to speak to them."""
+"""Client for the processes of a running site: addresses and calls."""
 
 import contextlib
 import json
@@ -9,9 +9,9 @@
 
 import httpx
 
-__all__ = ["SECRET", "Contact", "DaemonPorts"]
+__all__ = ["SECRET", "SiteClient", "DaemonPorts"]
 
-# Of every operator: the processes listen on loopback only.
+# Shared by all operators: the processes listen on loopback only.
 SECRET = "loopback-only"
 
 
@@ -25,18 +25,18 @@
     relay: int = 0
 
     @property
-    def advertised(self) -> str:
-        """The address at which peers reach it."""
+    def advertised_address(self) -> str:
+        """The address that peers connect to."""
         return f"127.0.0.1:{self.relay or self.peers}"
 
 
-class Contact:
-    """Speaks to platform, workers, daemons and the relay between daemons.
+class SiteClient:
+    """Client for the platform, the workers, the daemons and the relay between them.
 
     Parameters
     ----------
     certificates : mapping of str to str, or None
-        Files as in a `schema.Tls`; None without TLS.
+        Certificate files as in `schema.Tls`; None without TLS.
 
     Attributes
     ----------
@@ -44,8 +44,8 @@
     workers : dict of str to str
         VM to ``host:port``.
     daemons : dict of str to DaemonPorts
-    control : int
-        Port of the relay, 0 if there is none.
+    relay_control_port : int
+        Control port of the relay, 0 without a relay.
     """
 
     def __init__(self, certificates: Mapping[str, str] | None) -> None:
@@ -53,7 +53,7 @@
         self.platform_url = ""
         self.workers: dict[str, str] = {}
         self.daemons: dict[str, DaemonPorts] = {}
-        self.control = 0
+        self.relay_control_port = 0
 
     @property
     def scheme(self) -> str:
@@ -62,37 +62,37 @@
 
     @property
     def verify(self) -> Any:
-        """What httpx is to trust."""
+        """TLS verification argument for httpx."""
         if self.certificates is None:
             return False
         return ssl.create_default_context(cafile=self.certificates["authority"])
 
-    def ask(
+    def request(
         self,
         method: str,
         path: str,
         body: Any = None,
         operator: str = "ana",
-        at: str = "",
-        limit: float = 10.0,
+        daemon: str = "",
+        timeout: float = 10.0,
     ) -> httpx.Response:
         """Send an operator's request to a daemon, the first one by default."""
-        daemon = self.daemons[at or next(iter(self.daemons))]
+        ports = self.daemons[daemon or next(iter(self.daemons))]
         return httpx.request(
             method,
-            f"{self.scheme}://127.0.0.1:{daemon.operators}/operator/v1{path}",
+            f"{self.scheme}://127.0.0.1:{ports.operators}/operator/v1{path}",
             json=body,
             headers={"Authorization": f"Bearer {operator}:{SECRET}"},
-            timeout=limit,
+            timeout=timeout,
             trust_env=False,
             verify=self.verify,
         )
 
-    def ask_any(self, method: str, path: str) -> dict[str, Any]:
-        """Ask each daemon in turn; return the first good answer, or nothing."""
+    def request_any(self, method: str, path: str) -> dict[str, Any]:
+        """Return the first answer with status 200 of any daemon, or an empty dict."""
         for name in list(self.daemons):
             with contextlib.suppress(httpx.HTTPError):
-                answer = self.ask(method, path, at=name)
+                answer = self.request(method, path, daemon=name)
                 if answer.status_code == 200:
                     return answer.json()
         return {}
@@ -103,47 +103,47 @@
         Raises
         ------
         RuntimeError
-            If it isn't accepted.
+            If the document isn't accepted.
         """
         body = {"submission": name, "base": base, "document": intended}
-        answer = self.ask("POST", "/proposals", body)
+        answer = self.request("POST", "/proposals", body)
         if answer.status_code == 202:
             content = answer.json()["proposal"]["hash"]
             path = f"/proposals/{name}/approve"
-            answer = self.ask("POST", path, {"hash": content}, operator="ben")
+            answer = self.request("POST", path, {"hash": content}, operator="ben")
         if answer.status_code != 200:
             raise RuntimeError(f"document {name}: {answer.text}; expected 200")
 
     def list_members(self, pool: str) -> list[str]:
-        """Return the VMs that are in a pool now."""
-        return [one["vm"] for one in self.ask("GET", f"/pools/{pool}").json()["vms"]]
+        """Return the VMs that are currently in a pool."""
+        return [vm["vm"] for vm in self.request("GET", f"/pools/{pool}").json()["vms"]]
 
     def change_fleet(self, **fields: Any) -> None:
-        """Change the platform's VMs, as `platformfleet.Fleet.change` does."""
+        """Change the platform's VMs, see `platformfleet.Fleet.change`."""
         httpx.post(f"{self.platform_url}/fleet", json=fields, trust_env=False)
 
     def switch(self, **fields: Any) -> None:
-        """Set a switch of the platform stand-in."""
+        """Set fault switches of the platform stand-in."""
         httpx.post(f"{self.platform_url}/switch", json=fields, trust_env=False)
 
     def switch_worker(self, vm: str, **fields: Any) -> None:
-        """Set the switches of one worker."""
+        """Set the fault switches of one worker; those not given are reset."""
         url = f"http://{self.workers[vm]}/standin/switch"
         httpx.post(url, json=fields, trust_env=False)
 
     def switch_link(self, sender: str, receiver: str, state: str) -> None:
-        """Cut, freeze or open the link from one daemon to another."""
-        self.tell_relay(link=[sender, receiver, state])
+        """Set the state of the link from one daemon to another: open, cut or frozen."""
+        self.send_relay_command(link=[sender, receiver, state])
 
     def isolate(self, name: str, state: str) -> None:
-        """Switch all links from and to one daemon."""
+        """Set the state of all links from and to one daemon."""
         for other in self.daemons:
             if other != name:
                 self.switch_link(name, other, state)
                 self.switch_link(other, name, state)
 
     def read_logs(self) -> list[dict[str, Any]]:
-        """Return what truly ran on all workers."""
+        """Return the execution logs of all workers."""
         runs: list[dict[str, Any]] = []
         for address in self.workers.values():
             url = f"http://{address}/standin/log"
@@ -155,15 +155,17 @@
         answer = httpx.get(f"{self.platform_url}/history", trust_env=False, timeout=30)
         return answer.json()["history"]
 
-    def tell_relay(self, **command: Any) -> None:
-        """Give the relay a command.
+    def send_relay_command(self, **command: Any) -> None:
+        """Send a command to the relay.
 
         Raises
         ------
         RuntimeError
-            If it isn't carried out.
+            If the relay doesn't confirm the command.
         """
-        with socket.create_connection(("127.0.0.1", self.control), 5.0) as link:
-            link.sendall(json.dumps(command).encode() + b"\n")
-            if link.recv(16) != b"done\n":
-                raise RuntimeError(f"relay: {command} is not done")
+        with socket.create_connection(
+            ("127.0.0.1", self.relay_control_port), 5.0
+        ) as connection:
+            connection.sendall(json.dumps(command).encode() + b"\n")
+            if connection.recv(16) != b"done\n":
+                raise RuntimeError(f"relay didn't confirm the command {command}")
--- a/standins/demo/traffic.py
+++ b/standins/demo/traffic.py
@@ -1,9 +1,9 @@
 """Seeded traffic of callers over all daemons, with every outcome recorded.
 
-The callers run in a thread of their own, so that a scenario may stop, kill and
-switch meanwhile. Each caller has a client of its own and a bounded number of
-requests. An attempt is named ``REQUEST/ATTEMPT`` in ``X-Caller-Id``, which the
-workers log: what ran is known for each attempt.
+The callers run in a separate thread, so that a test can inject faults meanwhile.
+Each caller has its own client and sends a bounded number of requests. An attempt
+is identified by ``REQUEST/ATTEMPT`` in ``X-Caller-Id``, which the workers log, so
+that executions can be attributed to attempts.
 """
 
 import contextlib
@@ -17,36 +17,44 @@
 import anyio.from_thread
 import httpx
 
-__all__ = ["ANSWERED", "BROKEN", "LEFT", "UNCONNECTED", "Attempt", "Mix", "Outcome"]
+__all__ = [
+    "ANSWERED",
+    "BROKEN",
+    "ABANDONED",
+    "UNCONNECTED",
+    "Attempt",
+    "Mix",
+    "Outcome",
+]
 __all__ += ["Traffic", "open_traffic"]
 
 ANSWERED = "answered"
-BROKEN = "broken"  # the connection ended before a whole answer
-LEFT = "left"  # the caller left before the answer
+BROKEN = "broken"  # the connection ended before the answer was complete
+ABANDONED = "left"  # the caller left before the answer
 UNCONNECTED = "unconnected"  # no byte was sent
 
-ANSWER_LIMIT = 30.0  # seconds after which a caller gives up
+ANSWER_TIMEOUT_SECONDS = 30.0
 
 
 class Attempt(NamedTuple):
-    """One sending of a request.
+    """One attempt to send a request.
 
     Parameters
     ----------
     request : str
-        Names the request; all attempts of one share it.
+        Identifies the request; all its attempts share it.
     attempt : int
     daemon : str
-        The daemon that receives it.
+        Name of the daemon that the attempt is sent to.
     method, service : str
     work : float
-        Seconds of work asked of the worker.
+        Seconds that the worker takes for the request.
     key : str
-        Idempotency key; empty without.
-    leave : float
-        Seconds after which the caller leaves; 0 for never.
+        Idempotency key; empty for a request without one.
+    abandon_after : float
+        Seconds after which the caller disconnects; 0 for never.
     deadline : float
-        Seconds; 0 for that of the service.
+        Seconds; 0 for the deadline of the service.
     """
 
     request: str
@@ -56,22 +64,25 @@
     service: str
     work: float = 0.0
     key: str = ""
-    leave: float = 0.0
+    abandon_after: float = 0.0
     deadline: float = 0.0
 
     @property
     def name(self) -> str:
-        """The name that the workers log."""
+        """Identifier of the attempt in the workers' logs."""
         return f"{self.request}/{self.attempt}"
 
     @property
     def body(self) -> str:
-        """A body that belongs to this request alone."""
+        """Body that is unique to this request."""
         return f"body of {self.request}"
 
 
 class Outcome(NamedTuple):
-    """What the caller of an attempt saw; times in seconds since the epoch."""
+    """Outcome of an attempt as its caller saw it.
+
+    ``began`` is in seconds since the epoch, ``took`` in seconds.
+    """
 
     sent: Attempt
     ended: str
@@ -84,45 +95,45 @@
 
 
 class Mix(NamedTuple):
-    """What a caller sends.
+    """Distribution of the requests of a caller.
 
     Parameters
     ----------
     services : sequence of str
     works : sequence of float
-        Seconds of work, drawn evenly.
-    keyed : float
+        Seconds of work, drawn uniformly.
+    keyed_share : float
         Share of requests that are POST with a key; half of the others are GET.
-    twice : float
-        Share of the keyed ones that are sent to two daemons at once.
-    leave : float
-        Share of all whose caller leaves early.
-    pause : float
-        Longest pause between requests, seconds.
-    count : int
-        Most requests of one caller.
-    patience : float
-        Seconds after which a caller leaves in any case.
+    duplicate_share : float
+        Share of keyed requests that are sent twice at the same time.
+    abandoned_share : float
+        Share of requests whose caller disconnects within 50 ms.
+    max_pause : float
+        Maximum pause between requests, in seconds.
+    max_requests : int
+        Maximum number of requests of one caller.
+    abandon_after : float
+        Seconds after which the caller of any other request disconnects.
     """
 
     services: Sequence[str]
     works: Sequence[float] = (0.0, 0.01, 0.05)
-    keyed: float = 0.4
-    twice: float = 0.3
-    leave: float = 0.05
-    pause: float = 0.02
-    count: int = 400
-    patience: float = 3.0
+    keyed_share: float = 0.4
+    duplicate_share: float = 0.3
+    abandoned_share: float = 0.05
+    max_pause: float = 0.02
+    max_requests: int = 400
+    abandon_after: float = 3.0
 
 
 class Traffic:
-    """Callers in a thread; `open_traffic` makes it.
+    """Callers in a thread, created by `open_traffic`.
 
     Parameters
     ----------
     portal : anyio.from_thread.BlockingPortal
     find_ports : callable
-        Returns the callers' port of every daemon by name, as they are now.
+        Returns the current callers' port of every daemon, by name.
     seed : int
     """
 
@@ -145,46 +156,53 @@
             )
 
     def send(self, attempts: Iterable[Attempt]) -> list[futures.Future]:
-        """Send all attempts at once, each as a caller of its own."""
-        return [self._portal.start_task_soon(self._send_alone, one) for one in attempts]
+        """Send all attempts concurrently, each by a separate caller."""
+        return [
+            self._portal.start_task_soon(self._send_alone, attempt)
+            for attempt in attempts
+        ]
 
     def send_and_wait(self, attempts: Iterable[Attempt]) -> list[Outcome]:
-        """Send all attempts at once and return their outcomes."""
-        return [one.result() for one in self.send(attempts)]
+        """Send all attempts concurrently and return their outcomes."""
+        return [future.result() for future in self.send(attempts)]
 
     def stop(self) -> list[Outcome]:
-        """Let the callers finish what they sent; return all outcomes so far."""
+        """Stop the callers after their current requests; return all outcomes."""
         self._stopped = True
         return self.finish()
 
     def finish(self) -> list[Outcome]:
-        """Let the callers send all they were asked; return all outcomes."""
-        for one in self._running:
-            one.result()
+        """Wait until the callers have sent all their requests; return all outcomes."""
+        for future in self._running:
+            future.result()
         return list(self.outcomes)
 
     def wait_for(self, count: int, matching: Callable[[Outcome], bool]) -> None:
-        """Wait until ``count`` more outcomes match; bounded by `ANSWER_LIMIT`."""
+        """Wait until ``count`` more outcomes match, up to `ANSWER_TIMEOUT_SECONDS`."""
         before = len(self.outcomes)
-        deadline = time.monotonic() + ANSWER_LIMIT
-        while sum(bool(matching(one)) for one in self.outcomes[before:]) < count:
+        deadline = time.monotonic() + ANSWER_TIMEOUT_SECONDS
+        while (
+            sum(bool(matching(outcome)) for outcome in self.outcomes[before:]) < count
+        ):
             if time.monotonic() > deadline:
-                raise RuntimeError(f"no {count} such outcomes in {ANSWER_LIMIT} s")
+                raise RuntimeError(
+                    f"not {count} matching outcomes in {ANSWER_TIMEOUT_SECONDS} s"
+                )
             time.sleep(0.02)
 
     async def _run_caller(self, number: int, mix: Mix) -> None:
         rng = random.Random(f"{self._seed}/{number}")
         async with _open_client() as client:
-            for index in range(mix.count):
+            for index in range(mix.max_requests):
                 if self._stopped:
                     return
                 await self._run_request(client, rng, mix, f"{number}-{index}")
-                await anyio.sleep(rng.uniform(0, mix.pause))
+                await anyio.sleep(rng.uniform(0, mix.max_pause))
 
     async def _run_request(
         self, client: httpx.AsyncClient, rng: random.Random, mix: Mix, name: str
     ) -> None:
-        is_keyed = rng.random() < mix.keyed
+        is_keyed = rng.random() < mix.keyed_share
         first = Attempt(
             f"{self._seed}-{name}",
             0,
@@ -193,48 +211,50 @@
             rng.choice(mix.services),
             rng.choice(mix.works),
             key=f"key-{self._seed}-{name}" if is_keyed else "",
-            leave=rng.uniform(0.001, 0.05)
-            if rng.random() < mix.leave
-            else mix.patience,
+            abandon_after=rng.uniform(0.001, 0.05)
+            if rng.random() < mix.abandoned_share
+            else mix.abandon_after,
         )
         attempts = [first]
-        if is_keyed and rng.random() < mix.twice:
+        if is_keyed and rng.random() < mix.duplicate_share:
             other = rng.choice(sorted(self._find_ports()))
-            attempts.append(first._replace(attempt=1, daemon=other, leave=mix.patience))
-        made: list[Outcome] = []
+            attempts.append(
+                first._replace(attempt=1, daemon=other, abandon_after=mix.abandon_after)
+            )
+        outcomes: list[Outcome] = []
         async with anyio.create_task_group() as group:
-            for one in attempts:
-                group.start_soon(self._keep, client, one, made)
-        if is_keyed and not any(one.verdict == "ran" for one in made):
+            for attempt in attempts:
+                group.start_soon(self._send_and_record, client, attempt, outcomes)
+        if is_keyed and not any(outcome.verdict == "ran" for outcome in outcomes):
             other = rng.choice(sorted(self._find_ports()))
             repeat = first._replace(
-                attempt=len(attempts), daemon=other, leave=mix.patience
+                attempt=len(attempts), daemon=other, abandon_after=mix.abandon_after
             )
-            await self._keep(client, repeat, made)
+            await self._send_and_record(client, repeat, outcomes)
 
-    async def _keep(
-        self, client: httpx.AsyncClient, one: Attempt, made: list[Outcome]
+    async def _send_and_record(
+        self, client: httpx.AsyncClient, attempt: Attempt, outcomes: list[Outcome]
     ) -> None:
-        port = self._find_ports().get(one.daemon)
-        if port is None:  # taken out since the caller chose it
-            outcome = Outcome(one, UNCONNECTED, time.time(), 0.0)
+        port = self._find_ports().get(attempt.daemon)
+        if port is None:  # removed since the caller chose it
+            outcome = Outcome(attempt, UNCONNECTED, time.time(), 0.0)
         else:
-            outcome = await send(client, port, one)
-        made.append(outcome)
+            outcome = await send(client, port, attempt)
+        outcomes.append(outcome)
         self.outcomes.append(outcome)
 
-    async def _send_alone(self, one: Attempt) -> Outcome:
-        made: list[Outcome] = []
+    async def _send_alone(self, attempt: Attempt) -> Outcome:
+        outcomes: list[Outcome] = []
         async with _open_client() as client:
-            await self._keep(client, one, made)
-        return made[0]
+            await self._send_and_record(client, attempt, outcomes)
+        return outcomes[0]
 
 
 @contextlib.contextmanager
 def open_traffic(
     find_ports: Callable[[], Mapping[str, int]], seed: int
 ) -> Iterator[Traffic]:
-    """Run callers until the context ends."""
+    """Run callers until the context exits."""
     with anyio.from_thread.start_blocking_portal() as portal:
         traffic = Traffic(portal, find_ports, seed)
         try:
@@ -243,27 +263,27 @@
             traffic.stop()
 
 
-async def send(client: httpx.AsyncClient, port: int, one: Attempt) -> Outcome:
-    """Send one attempt and return what its caller saw."""
-    headers = {"X-Caller-Id": one.name}
-    if one.key:
-        headers["Idempotency-Key"] = one.key
-    if one.deadline:
-        headers["Wigeonhitch-Deadline"] = str(one.deadline)
-    url = f"http://127.0.0.1:{port}/{one.service}/run?work={one.work}"
+async def send(client: httpx.AsyncClient, port: int, attempt: Attempt) -> Outcome:
+    """Send one attempt and return its outcome."""
+    headers = {"X-Caller-Id": attempt.name}
+    if attempt.key:
+        headers["Idempotency-Key"] = attempt.key
+    if attempt.deadline:
+        headers["Wigeonhitch-Deadline"] = str(attempt.deadline)
+    url = f"http://127.0.0.1:{port}/{attempt.service}/run?work={attempt.work}"
     began, start = time.time(), time.monotonic()
-    ended, found = LEFT, {}
+    ended, fields = ABANDONED, {}
     try:
-        with anyio.move_on_after(one.leave or ANSWER_LIMIT):
+        with anyio.move_on_after(attempt.abandon_after or ANSWER_TIMEOUT_SECONDS):
             response = await client.request(
-                one.method, url, headers=headers, content=one.body
+                attempt.method, url, headers=headers, content=attempt.body
             )
-            ended, found = ANSWERED, _read(response)
+            ended, fields = ANSWERED, _read(response)
     except (httpx.ConnectError, httpx.ConnectTimeout):
         ended = UNCONNECTED
     except httpx.HTTPError:
         ended = BROKEN
-    return Outcome(one, ended, began, time.monotonic() - start, **found)
+    return Outcome(attempt, ended, began, time.monotonic() - start, **fields)
 
 
 def _read(response: httpx.Response) -> dict[str, Any]:
@@ -280,4 +300,6 @@
 
 
 def _open_client() -> httpx.AsyncClient:
-    return httpx.AsyncClient(trust_env=False, verify=False, timeout=ANSWER_LIMIT)
+    return httpx.AsyncClient(
+        trust_env=False, verify=False, timeout=ANSWER_TIMEOUT_SECONDS
+    )
--- a/standins/soak/application.py
+++ b/standins/soak/application.py
@@ -1,4 +1,4 @@
-"""ASGI application of the platform and of all workers."""
+"""ASGI application of the platform and all workers."""
 
 from typing import Any
 from urllib import parse
@@ -7,26 +7,26 @@
 import orjson
 
 from standins import serving
-from standins.soak import store, yard
+from standins.soak import store, vmfleet
 
 __all__ = ["Application"]
 
 
 class Application:
-    """Sends each call to the store, to the VMs or to one worker.
+    """Dispatches each call to the store, the VMs or one worker.
 
     Parameters
     ----------
     rows : store.Store
         Answers the store's calls.
-    vms : yard.Yard
-        Answers calls on VMs and to workers.
-    workers : dict of int to yard.Vm
-        By the port that a worker listens on.
+    vms : vmfleet.VmFleet
+        Answers calls about VMs and calls to workers.
+    workers : dict of int to vmfleet.Vm
+        VMs by the port that their worker listens on.
     """
 
     def __init__(
-        self, rows: store.Store, vms: yard.Yard, workers: dict[int, yard.Vm]
+        self, rows: store.Store, vms: vmfleet.VmFleet, workers: dict[int, vmfleet.Vm]
     ) -> None:
         self._rows = rows
         self._vms = vms
@@ -40,7 +40,7 @@
         body = await _read_body(receive)
         answer = store.Answer(0)
         async with anyio.create_task_group() as group:
-            group.start_soon(_watch, receive, group.cancel_scope)
+            group.start_soon(_cancel_on_disconnect, receive, group.cancel_scope)
             answer = await self._answer(scope, orjson.loads(body) if body else None)
             if not answer.status:
                 await anyio.sleep_forever()
@@ -79,8 +79,8 @@
             return b"".join(parts)
 
 
-async def _watch(receive: Any, scope: anyio.CancelScope) -> None:
-    """Give a call up once its caller has gone."""
+async def _cancel_on_disconnect(receive: Any, scope: anyio.CancelScope) -> None:
+    """Cancel a call once its caller has disconnected."""
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
--- a/wigeonhitch/front/dispatcher.py
+++ b/wigeonhitch/front/dispatcher.py
@@ -20,7 +20,7 @@
 
 
 class FinalAnswer(NamedTuple):
-    """The final answer of one request; ``answer`` is None if no worker answered."""
+    """The final answer of one request; ``answer`` is None without a worker's."""
 
     verdict: verdict.Verdict
     answer: reply.Reply | None
@@ -59,7 +59,7 @@
 
     Parameters
     ----------
-    decisions : core.Core
+    routing : core.Core
         The routing core; only the dispatcher may pass it events.
     attempt_sender : sender.Sender
         Sends attempts.
@@ -77,14 +77,14 @@
 
     def __init__(
         self,
-        decisions: core.Core,
+        routing: core.Core,
         attempt_sender: sender.Sender,
         clock: Callable[[], float],
         send_messages: Callable[[action.SendMessages, tuple[str, ...]], None],
         find_address: Callable[[str], str | None],
         may_send: Callable[[], bool],
     ) -> None:
-        self._core = decisions
+        self._core = routing
         self._sender = attempt_sender
         self._clock = clock
         self._send_messages = send_messages
@@ -125,8 +125,8 @@
         pending : PendingRequest
             New for each request; pass it to `cancel` if the caller disconnects.
         on_send : callable, optional
-            Called right before each attempt; if it returns a verdict, the attempt
-            ends with it unsent.
+            Called right before each attempt; if it returns a verdict, the attempt ends
+            unsent with this verdict.
         """
         self._number += 1
         number = pending.number = self._number
--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -149,13 +149,15 @@
     def _replace(self, entry: attempt.Attempt, new: job.Job) -> None:
         old = entry.job
         self._unindex(old)
-        if old.holds_reservation and not new.holds_reservation:
+        if old.holds and not new.holds:
             self.dirty_pools.add(old.asked.pool)
         entry.job = new
         if (new.attempt, new.vm) != (old.attempt, old.vm) and (
             new.attempt != old.attempt or old.state is QUEUED
         ):
-            entry.reset(unsure=new.state in job.HOLDING and new.fence != self.fence)
+            entry.reset(
+                start_unconfirmed=new.state in job.HOLDING and new.fence != self.fence
+            )
         self._index(new)
 
     def _index(self, item: job.Job) -> None:
@@ -207,9 +209,9 @@
             cores = memory = 0.0
             for name in self.on_vm.get(vm, ()):
                 entry = self.jobs[name]
-                if entry.job.holds_reservation and entry.is_alive:
-                    cores += max(0.0, entry.seen.used_cores - entry.job.cores)
-                    memory += max(0.0, entry.seen.used_memory - entry.job.memory)
+                if entry.job.holds and entry.is_alive:
+                    cores += max(0.0, entry.listed.used_cores - entry.job.cores)
+                    memory += max(0.0, entry.listed.used_memory - entry.job.memory)
             self.overrun[vm] = (cores, memory)
 
     def free_capacity(self, vm: str) -> tuple[float, float]:
@@ -230,8 +232,8 @@
         ``floor``.
         """
         asked = item.asked
-        family = asked.sizing_key
-        cores, memory = self.estimator.estimate(family, asked.cores, asked.memory)
+        sizing_key = asked.sizing_key
+        cores, memory = self.estimator.estimate(sizing_key, asked.cores, asked.memory)
         cores = max(cores, MIN_SIZE[0])
         memory = max(memory, item.floor, MIN_SIZE[1])
         limits = self.max_size(item)
@@ -243,9 +245,9 @@
             self.policy.kinds.get(item.asked.pool),
             self.policy.teams.get(item.asked.team),
         ]
-        known = [size for size in sizes if size is not None]
-        cores = min((size.cores for size in known), default=math.inf)
-        return cores, min((size.memory for size in known), default=math.inf)
+        limits = [size for size in sizes if size is not None]
+        cores = min((size.cores for size in limits), default=math.inf)
+        return cores, min((size.memory for size in limits), default=math.inf)
 
     def failure_domain(self, vm: str) -> str:
         """Return the failure domain of a worker, as defined by its pool."""
--- a/wigeonhitch/platform/advice.py
+++ b/wigeonhitch/platform/advice.py
@@ -1,10 +1,10 @@
-"""Calls to the service that knows which workers a queue's policy allows."""
+"""Client of the advice service, which decides what workers may run a step."""
 
 from typing import NamedTuple, Protocol
 
 from wigeonhitch.platform import http
 
-__all__ = ["Advice", "AdviceCalls", "Opinion", "StepName"]
+__all__ = ["Advice", "AdviceCalls", "AdviceReply", "StepName"]
 
 
 class StepName(NamedTuple):
@@ -15,10 +15,10 @@
     step: int
 
 
-class Opinion(NamedTuple):
-    """Tickets by worker; None when there is no answer, with the reason.
+class AdviceReply(NamedTuple):
+    """Tickets by worker, or None and the reason without an answer.
 
-    ``validity`` is the time in seconds for which the tickets hold.
+    ``validity`` is the time in seconds for which the tickets are valid.
     """
 
     tickets: dict[str, str] | None
@@ -27,11 +27,11 @@
 
 
 class AdviceCalls(Protocol):
-    """What a pool's leader asks of the advice service."""
+    """Calls of a pool's leader to the advice service."""
 
     async def ask(
         self, step: StepName, workers: list[str], *, timeout: float
-    ) -> Opinion:
+    ) -> AdviceReply:
         """Return the tickets of the workers that may run a step."""
         ...
 
@@ -45,16 +45,16 @@
 
     async def ask(
         self, step: StepName, workers: list[str], *, timeout: float
-    ) -> Opinion:
+    ) -> AdviceReply:
         """Return the tickets of the workers that may run a step."""
         if not self._address:
-            return Opinion(None, reason="no address")
+            return AdviceReply(None, reason="no address")
         name = f"{step.job}.{step.occurrence}.{step.step}"
         body = {"step": name, "workers": workers}
         reply = await self._client.call(
             "POST", self._address, "/v1/advise", timeout=timeout, body=body
         )
         if reply.status != 200 or not isinstance(reply.body, dict):
-            return Opinion(None, reason=reply.reason or f"status {reply.status}")
+            return AdviceReply(None, reason=reply.reason or f"status {reply.status}")
         tickets = {row[0]: row[1] for row in reply.body.get("good", ())}
-        return Opinion(tickets, reply.body.get("validity_ms", 0) / 1000)
+        return AdviceReply(tickets, reply.body.get("validity_ms", 0) / 1000)
--- a/wigeonhitch/pool/vm.py
+++ b/wigeonhitch/pool/vm.py
@@ -13,7 +13,7 @@
 __all__ = ["MAX_CLOCK_DRIFT", "Run", "RunState", "Vm"]
 
 MAX_CLOCK_DRIFT = 0.02
-"""Fraction by which a worker's clock may be slower than true time (users' rules)."""
+"""Fraction by which a worker's clock may be slower than true time (as specified)."""
 
 STALE_AFTER_SECONDS = 2.0
 """Seconds without an answer after which no task is started on a VM: a hold of an idle
@@ -59,29 +59,30 @@
 class Run:
     """One start of a task on a VM.
 
-    ``deadline`` is the worker's time after which it refuses the start, ``since`` this
-    daemon's time of the answer to the start, and ``moved`` the worker's time of the
-    last progress. ``work`` is the progress in percent; ``mark_at`` and ``mark_work``
-    begin the current measurement of ``rate``.
+    ``deadline`` is the worker's time after which it refuses the start, ``started_at``
+    this daemon's time of the answer to the start, and ``last_progress_clock`` the
+    worker's time of the last progress. ``work`` is the progress in percent;
+    ``rate_start_clock`` and ``rate_start_work`` begin the current measurement of
+    ``rate``.
     """
 
     __slots__ = (
         "adopted",
+        "confirmed_from",
         "deadline",
-        "is_sick",
+        "is_degraded",
+        "last_progress_clock",
         "load",
-        "moved",
         "number",
-        "mark_at",
-        "mark_work",
         "pace",
         "rate",
+        "rate_start_clock",
+        "rate_start_work",
         "room",
-        "since",
+        "started_at",
         "state",
-        "sure_from",
         "step",
-        "stop_sent",
+        "stop_sent_at",
         "task",
         "vm",
         "work",
@@ -97,36 +98,36 @@
         self.room = step.reserved
         self.state = RunState.STARTING
         self.deadline = 0.0
-        self.since = now
-        self.moved = 0.0
+        self.started_at = now
+        self.last_progress_clock = 0.0
         self.work = 0.0
         self.load = 0.0
         self.pace = 100
         self.rate: float | None = None
-        self.mark_at = 0.0
-        self.mark_work = 0.0
-        self.stop_sent = 0.0
+        self.rate_start_clock = 0.0
+        self.rate_start_work = 0.0
+        self.stop_sent_at = 0.0
         self.adopted = False
-        self.is_sick = False
-        self.sure_from = 0.0
+        self.is_degraded = False
+        self.confirmed_from = 0.0
         """This daemon's time from which a listing shows that the run isn't being
         stopped by an earlier leader."""
 
     def record_work(self, work: float, clock: float) -> None:
         """Record the progress at a worker's time and update the rate."""
         if work != self.work:
-            self.moved = clock
+            self.last_progress_clock = clock
         self.work = work
-        passed = clock - self.mark_at
+        passed = clock - self.rate_start_clock
         if passed >= RATE_WINDOW_SECONDS:
-            self.rate = (work - self.mark_work) / passed
-            self.mark_at, self.mark_work = clock, work
+            self.rate = (work - self.rate_start_work) / passed
+            self.rate_start_clock, self.rate_start_work = clock, work
 
     @property
     def is_at_work(self) -> bool:
         """Whether a lasting task is known to be fully available."""
         is_running = self.state is RunState.RUNNING and not self.vm.is_silent
-        is_confirmed = self.vm.last_answer >= self.sure_from
+        is_confirmed = self.vm.last_answer >= self.confirmed_from
         return is_running and is_confirmed and self.work >= 100
 
 
@@ -145,7 +146,7 @@
         self.entry = entry
         self.listed = True
         self.closed = False
-        """Whether it is to be vacated, for maintenance or a move."""
+        """Whether it is closed and drained, for maintenance or a move."""
         self.answered = False
         """Whether it has answered under this leader's fencing token."""
         self.reconciled = False
@@ -221,7 +222,7 @@
         self.lease_deadline = max(self.lease_deadline, deadline)
 
     def is_lapsed(self, now: float, grace: float) -> bool:
-        """Return whether all its runs have ended, given ``grace`` seconds to stop."""
+        """Return whether all runs have certainly ended; ``grace`` is the stop time."""
         return self.compute_clock(now) > self.lease_deadline + grace
 
     def compute_free_room(self) -> model.Room:
@@ -300,8 +301,8 @@
         """Adopt a run that an earlier leader started."""
         run = Run(listed.task, listed.run, self, step, now)
         run.state = RunState.RUNNING
-        run.moved = run.mark_at = self.reported_clock
-        run.work = run.mark_work = listed.work
+        run.last_progress_clock = run.rate_start_clock = self.reported_clock
+        run.work = run.rate_start_work = listed.work
         run.adopted = True
         if step.fills and step.lasting:
             run.pace = int(listed.work)
