--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -26,20 +26,20 @@
     watcher,
 )
 
-SIZES = (9, 60, 220)
-CHANGES = 20
+DAEMON_COUNTS = (9, 60, 220)
+CHANGE_COUNT = 20
 # Seconds between two changes, enough to settle.
-SPACING = 30.0
-PEER_DELAY = (0.001, 0.003)
-STORE_DELAY = (0.002, 0.006)
-SLOW_STORE = (1.0, 3.0)
-PAUSE = 20.0
+CHANGE_INTERVAL_SECONDS = 30.0
+PEER_DELAY_SECONDS = (0.001, 0.003)
+STORE_DELAY_SECONDS = (0.002, 0.006)
+SLOW_STORE_DELAY_SECONDS = (1.0, 3.0)
+PAUSE_SECONDS = 20.0
 SEED = 1
 # Status line and headers of an answer of the store, bytes.
-ANSWER_HEADERS = 160
+RESPONSE_HEADER_BYTES = 160
 # Frame of a peer message, bytes.
-FRAME = 8
-CHANGES_A_DAY = 520
+FRAME_BYTES = 8
+CHANGES_PER_DAY = 520
 
 
 class Case(NamedTuple):
@@ -48,13 +48,13 @@
     name: str
     daemons: int
     fan_out: int = 3
-    store: tuple[float, float] = STORE_DELAY
-    silent: bool = False
+    store_delay: tuple[float, float] = STORE_DELAY_SECONDS
+    store_unreachable: bool = False
     paused: bool = False
-    cut: bool = False
+    isolated: bool = False
 
 
-class Run:
+class Simulation:
     """Daemons, a store and an event queue under a clock of its own."""
 
     def __init__(self, case: Case, contents: list[bytes]) -> None:
@@ -62,14 +62,14 @@
         self.rng = random.Random(SEED)
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.contents = contents
         self.hashes = [canonical.hash_bytes(data) for data in contents]
         self.version = 0
-        self.accepted = [0.0] * (len(contents) + 1)
-        self.resumed: dict[int, float] = {}
-        self.cut: set[int] = set()
-        self.installed: dict[tuple[int, int], float] = {}
+        self.accepted_at = [0.0] * (len(contents) + 1)
+        self.resume_at: dict[int, float] = {}
+        self.isolated: set[int] = set()
+        self.installed_at: dict[tuple[int, int], float] = {}
         self.sent = [0] * case.daemons
         limits = distribution.Limits(fan_out=case.fan_out)
         self.cores = []
@@ -78,66 +78,70 @@
             peers = tuple(str(n) for n in range(case.daemons) if n != daemon)
             core.handle(message.PeersChanged(peers), 0.0)
             self.cores.append(core)
-            self.later(self.rng.random(), lambda daemon=daemon: self.tick(daemon))
+            self.call_later(self.rng.random(), lambda daemon=daemon: self.wake(daemon))
 
-    def later(self, seconds: float, call: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
         """Schedule a call."""
-        heapq.heappush(self.queue, (self.now + seconds, next(self.order), call))
+        heapq.heappush(self.queue, (self.now + seconds, next(self.sequence), callback))
 
     def run_until(self, end: float) -> None:
         """Carry out everything that is due before a time."""
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.queue)
-            call()
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
         self.now = end
 
-    def tick(self, daemon: int) -> None:
+    def wake(self, daemon: int) -> None:
         """Wake one daemon, and again when it asks to."""
-        self.take(daemon, message.Tick())
+        self.deliver(daemon, message.Tick())
         wait = max(self.cores[daemon].next_wake(self.now) - self.now, 0.01)
-        self.later(wait, lambda: self.tick(daemon))
+        self.call_later(wait, lambda: self.wake(daemon))
 
-    def take(self, daemon: int, event: message.Event) -> None:
+    def deliver(self, daemon: int, event: message.Event) -> None:
         """Give one event to a daemon; one that is paused gets it later."""
-        if self.now < self.resumed.get(daemon, 0.0):
-            wait = self.resumed[daemon] - self.now
+        if self.now < self.resume_at.get(daemon, 0.0):
+            wait = self.resume_at[daemon] - self.now
             if not isinstance(event, message.Tick):
-                self.later(wait, lambda: self.take(daemon, event))
+                self.call_later(wait, lambda: self.deliver(daemon, event))
             return
         for action in self.cores[daemon].handle(event, self.now):
-            self.carry_out(daemon, action)
+            self.execute(daemon, action)
 
-    def carry_out(self, daemon: int, action: message.Action) -> None:
+    def execute(self, daemon: int, action: message.Action) -> None:
         """Carry out one action with its delay."""
         match action:
             case message.SendPeer():
-                self.sent[daemon] += len(message.encode(action.message)) + FRAME
+                self.sent[daemon] += len(message.encode(action.message)) + FRAME_BYTES
                 received = message.Received(str(daemon), action.message)
                 self.send(daemon, int(action.peer), received)
             case message.Install():
-                self.installed[daemon, action.version] = self.now
+                self.installed_at[daemon, action.version] = self.now
             case _:
-                self.ask_store(daemon, action)
+                self.query_store(daemon, action)
 
     def send(self, daemon: int, peer: int, event: message.Received) -> None:
         """Send a message to a peer; one that is cut off hears nothing."""
-        if not {daemon, peer} & self.cut:
-            delay = self.rng.uniform(*PEER_DELAY)
-            self.later(delay, lambda: self.take(peer, event))
+        if not {daemon, peer} & self.isolated:
+            delay = self.rng.uniform(*PEER_DELAY_SECONDS)
+            self.call_later(delay, lambda: self.deliver(peer, event))
 
-    def ask_store(self, daemon: int, action: message.Action) -> None:
+    def query_store(self, daemon: int, action: message.Action) -> None:
         """Ask the store; the answer shows the moment halfway."""
         started = self.now
-        delay = self.rng.uniform(*self.case.store)
-        patience = self.cores[daemon].limits.read_timeout
-        silent = self.case.silent and daemon != 0 and self.now > SPACING
-        lost = silent or daemon in self.cut
-
-        def look() -> None:
+        delay = self.rng.uniform(*self.case.store_delay)
+        read_timeout = self.cores[daemon].limits.read_timeout
+        silent = (
+            self.case.store_unreachable
+            and daemon != 0
+            and self.now > CHANGE_INTERVAL_SECONDS
+        )
+        lost = silent or daemon in self.isolated
+
+        def read() -> None:
             event = self.read_store(action, started, lost)
-            self.later(delay / 2, lambda: self.take(daemon, event))
+            self.call_later(delay / 2, lambda: self.deliver(daemon, event))
 
-        self.later(patience if lost else delay / 2, look)
+        self.call_later(read_timeout if lost else delay / 2, read)
 
     def read_store(
         self, action: message.Action, started: float, lost: bool
@@ -156,75 +160,79 @@
     def accept(self) -> None:
         """Accept the next version through the first daemon."""
         self.version += 1
-        self.accepted[self.version] = self.now
+        self.accepted_at[self.version] = self.now
         content = self.hashes[self.version - 1]
-        tell = message.Tell(self.version, content)
-        self.take(0, message.Received("", tell))
-        self.take(0, message.Fetched(content, self.contents[self.version - 1]))
+        announcement = message.Tell(self.version, content)
+        self.deliver(0, message.Received("", announcement))
+        self.deliver(0, message.Fetched(content, self.contents[self.version - 1]))
 
 
 def measure(case: Case, contents: list[bytes]) -> list[Any]:
     """Run one case; return its row."""
-    run = Run(case, contents)
-    run.run_until(10.0)
-    odd = case.daemons - 1
-    wrong = 0
+    simulation = Simulation(case, contents)
+    simulation.run_until(10.0)
+    faulty = case.daemons - 1
+    stale = 0
     until_unready = []
-    before = sum(run.sent)
+    before = sum(simulation.sent)
     for _ in contents:
         if case.paused:
-            run.resumed[odd] = run.now + PAUSE
-        if case.cut:
-            run.cut = {odd}
-        run.run_until(run.now + run.rng.random())
-        run.accept()
-        start = run.now
-        while run.now < start + SPACING - 5.0:
-            run.run_until(run.now + 0.5)
-            wrong += count_wrong(run, start)
-            if case.cut and odd_unready(run, odd) and len(until_unready) < run.version:
-                until_unready.append(run.now - start)
-        run.cut = set()
-        run.run_until(start + SPACING)
-    times = [
-        run.installed[daemon, version] - run.accepted[version]
-        for daemon, version in run.installed
-        if daemon != odd or not (case.paused or case.cut)
+            simulation.resume_at[faulty] = simulation.now + PAUSE_SECONDS
+        if case.isolated:
+            simulation.isolated = {faulty}
+        simulation.run_until(simulation.now + simulation.rng.random())
+        simulation.accept()
+        start = simulation.now
+        while simulation.now < start + CHANGE_INTERVAL_SECONDS - 5.0:
+            simulation.run_until(simulation.now + 0.5)
+            stale += count_stale_but_ready(simulation, start)
+            if (
+                case.isolated
+                and is_unready(simulation, faulty)
+                and len(until_unready) < simulation.version
+            ):
+                until_unready.append(simulation.now - start)
+        simulation.isolated = set()
+        simulation.run_until(start + CHANGE_INTERVAL_SECONDS)
+    latencies = [
+        simulation.installed_at[daemon, version] - simulation.accepted_at[version]
+        for daemon, version in simulation.installed_at
+        if daemon != faulty or not (case.paused or case.isolated)
     ]
     return [
         case.name,
         case.daemons,
-        f"{statistics.median(times):.3f}",
-        f"{sorted(times)[int(len(times) * 0.99)]:.3f}",
-        f"{max(times):.3f}",
+        f"{statistics.median(latencies):.3f}",
+        f"{sorted(latencies)[int(len(latencies) * 0.99)]:.3f}",
+        f"{max(latencies):.3f}",
         f"{max(until_unready):.1f}" if until_unready else "-",
-        wrong,
-        f"{(sum(run.sent) - before) / case.daemons / len(contents):.0f}",
+        stale,
+        f"{(sum(simulation.sent) - before) / case.daemons / len(contents):.0f}",
     ]
 
 
-def odd_unready(run: Run, odd: int) -> bool:
+def is_unready(simulation: Simulation, faulty: int) -> bool:
     """Return whether the daemon that is cut off has stopped serving."""
-    found = run.cores[odd].readiness(run.now)
-    return found is not distribution.Readiness.READY
+    readiness = simulation.cores[faulty].readiness(simulation.now)
+    return readiness is not distribution.Readiness.READY
 
 
-def count_wrong(run: Run, start: float) -> int:
+def count_stale_but_ready(simulation: Simulation, start: float) -> int:
     """Count daemons that run, are ready, and are old after nine seconds."""
-    if run.now - start <= 9.0:
+    if simulation.now - start <= 9.0:
         return 0
     return sum(
-        core.version < run.version
-        and run.now >= run.resumed.get(number, 0.0)
-        and core.readiness(run.now) is distribution.Readiness.READY
-        for number, core in enumerate(run.cores)
+        core.version < simulation.version
+        and simulation.now >= simulation.resume_at.get(number, 0.0)
+        and core.readiness(simulation.now) is distribution.Readiness.READY
+        for number, core in enumerate(simulation.cores)
     )
 
 
 def make_contents() -> list[bytes]:
     """Return small documents that differ."""
     base = make_document(1)
-    return [canonical.encode(base._replace(fleet=f"f{n}")) for n in range(CHANGES)]
+    return [canonical.encode(base._replace(fleet=f"f{n}")) for n in range(CHANGE_COUNT)]
 
 
 def make_document(pools: int) -> document.Document:
@@ -246,21 +254,23 @@
 
 def time_call(call: Callable[[], Any], repeats: int) -> float:
     """Return the processor time of one call, milliseconds."""
-    begun = time.process_time()
+    started_at = time.process_time()
     for _ in range(repeats):
         call()
-    return (time.process_time() - begun) / repeats * 1e3
+    return (time.process_time() - started_at) / repeats * 1e3
 
 
 def measure_poll() -> tuple[int, float]:
     """Return bytes and the core's processor time (ms) of one idle poll."""
     body = {"keys": watcher.SIGNALS}
     request = httpx.Request("POST", "http://10.0.0.1:8000/table/read", json=body)
-    head = sum(len(k) + len(v) + 4 for k, v in request.headers.raw)
-    sent = head + len("POST /table/read HTTP/1.1\r\n\r\n") + len(request.content)
+    header_bytes = sum(len(k) + len(v) + 4 for k, v in request.headers.raw)
+    sent_bytes = (
+        header_bytes + len("POST /table/read HTTP/1.1\r\n\r\n") + len(request.content)
+    )
     rows = [{"key": key, "value": {}, "version": 10**9} for key in watcher.SIGNALS]
-    answer = {"rows": rows, "revision": 10**9, "time": 1.8e9}
-    received = ANSWER_HEADERS + len(json.dumps(answer))
+    response = {"rows": rows, "revision": 10**9, "time": 1.8e9}
+    received_bytes = RESPONSE_HEADER_BYTES + len(json.dumps(response))
     core = distribution.Distribution(distribution.Limits(), random.Random(SEED))
     clock = itertools.count()
     core.handle(message.CurrentRead(0.0, 1, 0), 0.0)
@@ -271,7 +281,7 @@
         core.handle(message.Polled(now, 1), now)
         core.readiness(now)
 
-    return sent + received, time_call(poll, 20_000)
+    return sent_bytes + received_bytes, time_call(poll, 20_000)
 
 
 def print_table(headers: list[str], rows: list[list[Any]]) -> None:
@@ -286,32 +296,51 @@
     """Print both tables."""
     contents = make_contents()
     rows = []
-    for daemons in SIZES:
+    for daemons in DAEMON_COUNTS:
         for case in (
             Case("tell 3 peers", daemons),
             Case("poll only", daemons, fan_out=0),
-            Case("store slow, tell 3 peers", daemons, store=SLOW_STORE),
-            Case("store slow, poll only", daemons, fan_out=0, store=SLOW_STORE),
-            Case("only one hears the store", daemons, silent=True),
+            Case(
+                "store slow, tell 3 peers",
+                daemons,
+                store_delay=SLOW_STORE_DELAY_SECONDS,
+            ),
+            Case(
+                "store slow, poll only",
+                daemons,
+                fan_out=0,
+                store_delay=SLOW_STORE_DELAY_SECONDS,
+            ),
+            Case("only one hears the store", daemons, store_unreachable=True),
             Case("one paused 20 s", daemons, paused=True),
-            Case("one cut off", daemons, cut=True),
+            Case("one cut off", daemons, isolated=True),
         ):
             rows.append(measure(case, contents))
-    print(f"Seconds from accepted to in force, {CHANGES} changes, seed {SEED}")
+    print(f"Seconds from accepted to in force, {CHANGE_COUNT} changes, seed {SEED}")
     headers = ["case", "daemons", "median", "p99", "worst"]
     headers += ["cut off: not ready", "ready though old", "peer bytes/change"]
     print_table(headers, rows)
-    size, processor = measure_poll()
-    print(f"\nOne poll: {size} bytes, {processor * 1e3:.0f} us in the core")
-    costs = []
+    poll_bytes, cpu_ms = measure_poll()
+    print(f"\nOne poll: {poll_bytes} bytes, {cpu_ms * 1e3:.0f} us in the core")
+    cost_rows = []
     for pools in (5, 128):
         data = canonical.encode(make_document(pools))
-        once = time_call(lambda data=data: check.load_canonical(data), 20)
-        fixed = len(json.dumps({"rows": [proposal.CURRENT] * 2})) + 2 * ANSWER_HEADERS
-        daily = CHANGES_A_DAY * (len(data) + fixed) / 86_400
-        costs.append([pools, len(data), f"{once:.1f}", f"{size + daily:.0f}"])
+        load_ms = time_call(lambda data=data: check.load_canonical(data), 20)
+        request_bytes = (
+            len(json.dumps({"rows": [proposal.CURRENT] * 2}))
+            + 2 * RESPONSE_HEADER_BYTES
+        )
+        change_bytes_per_second = CHANGES_PER_DAY * (len(data) + request_bytes) / 86_400
+        cost_rows.append(
+            [
+                pools,
+                len(data),
+                f"{load_ms:.1f}",
+                f"{poll_bytes + change_bytes_per_second:.0f}",
+            ]
+        )
     headers = ["pools", "document bytes", "ms to take it", "bytes/s at 520 a day"]
-    print_table(headers, costs)
+    print_table(headers, cost_rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -27,16 +27,18 @@
 from standins.demo import process, site
 from wigeonhitch.configuration import check
 
-SIZES = "3x24,6x24,9x24,24x24,9x96,9x192"
-SETTLE = 40.0  # seconds until start-up work is over
-PERIOD = 30.0  # seconds of counting
-TICKS = os.sysconf("SC_CLK_TCK")
-POOL_SIZE = 6  # workers a pool, about as at the target (800 in 128)
+DEFAULT_SIZES = "3x24,6x24,9x24,24x24,9x96,9x192"
+SETTLE_SECONDS = 40.0  # seconds until start-up work is over
+PERIOD_SECONDS = 30.0  # seconds of counting
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+WORKERS_PER_POOL = 6  # workers a pool, about as at the target (800 in 128)
 
 
 def make_document(workers: int) -> dict[str, Any]:
     """Return a document of pools of six workers with a team and service each."""
-    pools = [f"pool-{number:03}" for number in range(max(1, workers // POOL_SIZE))]
+    pools = [
+        f"pool-{number:03}" for number in range(max(1, workers // WORKERS_PER_POOL))
+    ]
     return {
         "fleet": "measured",
         "data_centres": [
@@ -50,7 +52,7 @@
             {
                 "name": pool,
                 "kind": "worker",
-                "size": POOL_SIZE,
+                "size": WORKERS_PER_POOL,
                 "must_be_up": {"share": 0.66},
             }
             for pool in pools
@@ -71,126 +73,131 @@
 def run() -> None:
     """Measure all sizes and print them."""
     parser = argparse.ArgumentParser()
-    parser.add_argument("--sizes", default=SIZES)
-    parser.add_argument("--settle", type=float, default=SETTLE)
-    parser.add_argument("--period", type=float, default=PERIOD)
+    parser.add_argument("--sizes", default=DEFAULT_SIZES)
+    parser.add_argument("--settle", type=float, default=SETTLE_SECONDS)
+    parser.add_argument("--period", type=float, default=PERIOD_SECONDS)
     parser.add_argument("--json", default="")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     results = []
-    for size in given.sizes.split(","):
+    for size in arguments.sizes.split(","):
         daemons, workers = (int(part) for part in size.split("x"))
-        results.append(measure(daemons, workers, given.settle, given.period))
+        results.append(measure(daemons, workers, arguments.settle, arguments.period))
         print_result(results[-1])
-        if given.json:
-            pathlib.Path(given.json).write_text(json.dumps(results), encoding="utf-8")
+        if arguments.json:
+            pathlib.Path(arguments.json).write_text(
+                json.dumps(results), encoding="utf-8"
+            )
 
 
 def measure(daemons: int, workers: int, settle: float, period: float) -> dict[str, Any]:
     """Start a system, let it settle and count; return figures by name."""
     with contextlib.ExitStack() as stack:
         folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        made, counted = start(stack, folder, daemons, workers)
+        system, counting_relay = start_system(stack, folder, daemons, workers)
         time.sleep(settle)
-        before = read(made, counted)
+        before = read_counters(system, counting_relay)
         time.sleep(period)
-        after = read(made, counted)
-    taken = after["time"] - before["time"]
-    busy = [
-        (after["cpu"][name] - before["cpu"][name]) / taken * 100
-        for name in made.daemons
+        after = read_counters(system, counting_relay)
+    elapsed = after["time"] - before["time"]
+    cpu_percent = [
+        (after["cpu"][name] - before["cpu"][name]) / elapsed * 100
+        for name in system.daemons
     ]
-    per_daemon = taken * daemons
+    daemon_seconds = elapsed * daemons
     labels = sorted(after["requests"])
     return {
         "daemons": daemons,
         "workers": workers,
-        "cpu_mean": statistics.mean(busy),
-        "cpu_most": max(busy),
-        "cpu_median": statistics.median(busy),
+        "cpu_mean": statistics.mean(cpu_percent),
+        "cpu_most": max(cpu_percent),
+        "cpu_median": statistics.median(cpu_percent),
         "resident_mb": max(after["resident"].values()),
         "peer_bytes": {
-            purpose: (sent - before["peers"].get(purpose, 0.0)) / per_daemon
+            purpose: (sent - before["peers"].get(purpose, 0.0)) / daemon_seconds
             for purpose, sent in after["peers"].items()
         },
         "platform": {
             label: (
                 (after["requests"][label] - before["requests"].get(label, 0))
-                / per_daemon,
-                (after["sizes"][label] - before["sizes"].get(label, 0)) / per_daemon,
+                / daemon_seconds,
+                (after["sizes"][label] - before["sizes"].get(label, 0))
+                / daemon_seconds,
             )
             for label in labels
         },
-        "reads": (after["reads"] - before["reads"]) / taken,
-        "writes": (after["writes"] - before["writes"]) / taken,
+        "reads": (after["reads"] - before["reads"]) / elapsed,
+        "writes": (after["writes"] - before["writes"]) / elapsed,
     }
 
 
-def start(
+def start_system(
     stack: contextlib.ExitStack, folder: pathlib.Path, daemons: int, workers: int
 ) -> tuple[site.Site, relay.Relay]:
     """Start a system whose daemons reach the platform through a relay."""
-    intended = make_document(workers)
-    checked = check.check_text(yaml.safe_dump(intended))
+    fleet_document = make_document(workers)
+    checked = check.check_text(yaml.safe_dump(fleet_document))
     if checked.intended is None:
         raise ValueError(f"{checked.problems}; expected a valid document")
     options = site.Options(daemons=daemons)
-    made = site.Site(stack, folder, process.Ports(), checked.intended, options)
-    made.start_platform()
-    counted = relay.Relay(int(made.platform_url.rpartition(":")[2]))
-    made.platform_url = f"http://127.0.0.1:{counted.port}"
+    system = site.Site(stack, folder, process.Ports(), checked.intended, options)
+    system.start_platform()
+    counting_relay = relay.Relay(int(system.platform_url.rpartition(":")[2]))
+    system.platform_url = f"http://127.0.0.1:{counting_relay.port}"
     for number in range(daemons):
-        made.start_daemon(number)
-    made.wait_until_serving(timeout=90.0)
-    made.submit(intended, 0, "first")
-    for name in made.daemons:
-        made.wait_until_ready(name, timeout=90.0)
-    return made, counted
+        system.start_daemon(number)
+    system.wait_until_serving(timeout=90.0)
+    system.submit(fleet_document, 0, "first")
+    for name in system.daemons:
+        system.wait_until_ready(name, timeout=90.0)
+    return system, counting_relay
 
 
-def read(made: site.Site, counted: relay.Relay) -> dict[str, Any]:
+def read_counters(system: site.Site, counting_relay: relay.Relay) -> dict[str, Any]:
     """Return all counters as they stand."""
-    ids = {name: made.children[name].popen.pid for name in made.daemons}
-    cpu = {name: read_processor(number) for name, number in ids.items()}
+    pids = {name: system.children[name].popen.pid for name in system.daemons}
+    cpu = {name: read_cpu_seconds(pid) for name, pid in pids.items()}
     now = time.monotonic()
-    store = httpx.get(f"{made.platform_url}/counters", trust_env=False).json()
+    store_counters = httpx.get(
+        f"{system.platform_url}/counters", trust_env=False
+    ).json()
     return {
         "time": now,
         "cpu": cpu,
-        "resident": {name: read_resident(number) for name, number in ids.items()},
-        "peers": read_peers(made),
-        "requests": dict(counted.requests),
-        "sizes": dict(counted.sizes),
-        "reads": sum(store["reads"].values()),
-        "writes": sum(store["writes"].values()),
+        "resident": {name: read_resident_mb(pid) for name, pid in pids.items()},
+        "peers": read_peer_bytes(system),
+        "requests": dict(counting_relay.requests),
+        "sizes": dict(counting_relay.byte_counts),
+        "reads": sum(store_counters["reads"].values()),
+        "writes": sum(store_counters["writes"].values()),
     }
 
 
-def read_processor(number: int) -> float:
+def read_cpu_seconds(pid: int) -> float:
     """Return the seconds of processor time that a process has used."""
-    text = pathlib.Path(f"/proc/{number}/stat").read_text(encoding="utf-8")
+    text = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="utf-8")
     fields = text.rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
-def read_resident(number: int) -> float:
+def read_resident_mb(pid: int) -> float:
     """Return the resident memory of a process; MB."""
-    text = pathlib.Path(f"/proc/{number}/status").read_text(encoding="utf-8")
-    found = re.search(r"VmRSS:\s+(\d+) kB", text)
-    return int(found.group(1)) / 1024 if found else 0.0
+    text = pathlib.Path(f"/proc/{pid}/status").read_text(encoding="utf-8")
+    match = re.search(r"VmRSS:\s+(\d+) kB", text)
+    return int(match.group(1)) / 1024 if match else 0.0
 
 
-def read_peers(made: site.Site) -> dict[str, float]:
+def read_peer_bytes(system: site.Site) -> dict[str, float]:
     """Return the bytes that all daemons sent to peers, by purpose."""
     totals: dict[str, float] = {}
-    for one in made.daemons.values():
-        url = f"http://127.0.0.1:{one.operators}/metrics"
+    for daemon in system.daemons.values():
+        url = f"http://127.0.0.1:{daemon.operators}/metrics"
         text = httpx.get(url, trust_env=False).text
         for line in text.splitlines():
-            found = re.match(
+            match = re.match(
                 r'peer_sent_bytes_total\{.*purpose="(\w+)".*\} (\S+)', line
             )
-            if found:
-                purpose, value = found.groups()
+            if match:
+                purpose, value = match.groups()
                 totals[purpose] = totals.get(purpose, 0.0) + float(value)
     return totals
 
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -20,7 +20,7 @@
 
 __all__ = ["Day", "collect", "draw"]
 
-STEP = 0.5
+BIN_SECONDS = 0.5
 """Seconds that are drawn as one."""
 
 
@@ -37,35 +37,43 @@
 
 def collect(lines: Iterable[dict[str, Any]]) -> Day:
     """Return what is drawn of some daemons' lines, in the order of time."""
-    found = sorted(lines, key=losses.read_time)
-    ends = [one for one in found if one["change"] == "job complete"]
-    first = min((_find_accepted(one) for one in ends), default=0.0)
+    ordered = sorted(lines, key=losses.read_time)
+    completions = [line for line in ordered if line["change"] == "job complete"]
+    first_accepted_at = min(
+        (_compute_accepted_at(line) for line in completions), default=0.0
+    )
     jobs: collections.Counter[float] = collections.Counter()
     late: collections.Counter[float] = collections.Counter()
-    for one in ends:
-        step = (_find_accepted(one) - first) // STEP * STEP
-        jobs[step] += 1
-        late[step] += one["took"] > one["objective"]
-    return Day(_count_vms(found, first), dict(jobs), dict(late))
+    for line in completions:
+        bin_start = (
+            (_compute_accepted_at(line) - first_accepted_at)
+            // BIN_SECONDS
+            * BIN_SECONDS
+        )
+        jobs[bin_start] += 1
+        late[bin_start] += line["took"] > line["objective"]
+    return Day(_count_vms(ordered, first_accepted_at), dict(jobs), dict(late))
 
 
 def _count_vms(
-    found: list[dict[str, Any]], first: float
+    lines: list[dict[str, Any]], first_accepted_at: float
 ) -> dict[str, list[tuple[float, int]]]:
     """Count by pool the VMs that joined and haven't gone."""
-    known: dict[str, set[str]] = collections.defaultdict(set)
+    known_vms: dict[str, set[str]] = collections.defaultdict(set)
     series: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
-    for one in found:
-        if one["change"] not in ("VM joined", "VM gone"):
+    for line in lines:
+        if line["change"] not in ("VM joined", "VM gone"):
             continue
-        pool = one["pool"]
-        change = set.add if one["change"] == "VM joined" else set.discard
-        change(known[pool], one["vm"])
-        series[pool].append((losses.read_time(one) - first, len(known[pool])))
+        pool = line["pool"]
+        update = set.add if line["change"] == "VM joined" else set.discard
+        update(known_vms[pool], line["vm"])
+        series[pool].append(
+            (losses.read_time(line) - first_accepted_at, len(known_vms[pool]))
+        )
     return dict(series)
 
 
-def _find_accepted(line: dict[str, Any]) -> float:
+def _compute_accepted_at(line: dict[str, Any]) -> float:
     return losses.read_time(line) - line["took"]
 
 
@@ -93,8 +101,12 @@
 
 
 def _draw_jobs(axes: Any, day: Day) -> None:
-    axes.bar(day.jobs.keys(), day.jobs.values(), STEP, align="edge", color="silver")
-    axes.bar(day.late.keys(), day.late.values(), STEP, align="edge", color="firebrick")
+    axes.bar(
+        day.jobs.keys(), day.jobs.values(), BIN_SECONDS, align="edge", color="silver"
+    )
+    axes.bar(
+        day.late.keys(), day.late.values(), BIN_SECONDS, align="edge", color="firebrick"
+    )
     axes.set_ylabel("jobs, late ones red")
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -29,10 +29,10 @@
 from wigeonhitch.membership import confirmation
 from wigeonhitch.platform import machines
 
-DAY = 86_400.0
-REPLACED_AFTER = 1200.0
-RESTART = 120.0
-INTERVAL = 2.0
+DAY_SECONDS = 86_400.0
+REPLACEMENT_DELAY_SECONDS = 1200.0
+RESTART_SECONDS = 120.0
+ROUND_INTERVAL_SECONDS = 2.0
 LIMITS = wave.Limits(stop_estimate=300.0, return_within=900.0)
 Picker = Callable[[wave.Snapshot], batch.Picks]
 
@@ -42,23 +42,27 @@
 
     name: str
     required: tuple[int, ...]
-    own: int
-    shared: int
+    own_spares: int
+    shared_spares: int
 
     @property
     def vms(self) -> int:
         """Return the number of VMs."""
-        return sum(self.required) + self.own * len(self.required) + self.shared
+        return (
+            sum(self.required)
+            + self.own_spares * len(self.required)
+            + self.shared_spares
+        )
 
 
 class Result(NamedTuple):
     """Measures of one run, and lower bounds from the lengths drawn in it."""
 
     rollout: float
-    bound: float
+    rollout_bound: float
     moves: int
     moves_bound: int
-    losses: int
+    lost_vms: int
     is_done: bool
 
 
@@ -66,20 +70,27 @@
     """Return the document of a layout with one wave over all pools."""
     pools = [
         document.Pool(
-            f"p{number:03d}", "k", must + layout.own, document.Budget(number=must)
+            f"p{number:03d}",
+            "k",
+            required_vms + layout.own_spares,
+            document.Budget(number=required_vms),
         )
-        for number, must in enumerate(layout.required)
+        for number, required_vms in enumerate(layout.required)
     ]
-    if layout.shared:
+    if layout.shared_spares:
         spare = document.Budget(number=0)
-        pools.append(document.Pool("spare", "k", layout.shared, spare))
-    window = document.Window(0.0, 30 * DAY)
-    item = document.Wave("w", tuple(pool.name for pool in pools), window, "kernel")
+        pools.append(document.Pool("spare", "k", layout.shared_spares, spare))
+    window = document.Window(0.0, 30 * DAY_SECONDS)
+    fleet_wave = document.Wave(
+        "w", tuple(pool.name for pool in pools), window, "kernel"
+    )
     kinds = (document.Kind("k", 16, 64),)
-    return document.Document("bench", (), kinds, tuple(pools), (), (), waves=(item,))
+    return document.Document(
+        "bench", (), kinds, tuple(pools), (), (), waves=(fleet_wave,)
+    )
 
 
-class Loop:
+class EventLoop:
     """Event loop around the decisions; time in seconds.
 
     Parameters
@@ -106,19 +117,19 @@
         self.layout = layout
         self.pick = pick
         self.rng = random.Random(seed)
-        self.accepted = build_document(layout)
+        self.document = build_document(layout)
         self.now = 0.0
         self.view = state.FleetView()
         self.machines: dict[str, machines.Machine] = {}
-        self.sick: set[str] = set()
+        self.unhealthy: set[str] = set()
         self.busy: set[str] = set()
-        self.missing: dict[str, float] = {}
+        self.missing_since: dict[str, float] = {}
         self.events: list[tuple[float, int, str, str]] = []
-        self.order = itertools.count(1)
-        self.stops: dict[str, list[float]] = {}
-        self.drains: dict[str, float] = {}
-        self.moves = self.losses = self.rounds = 0
-        self.spent = 0.0
+        self.sequence = itertools.count(1)
+        self.stop_durations: dict[str, list[float]] = {}
+        self.drain_durations: dict[str, float] = {}
+        self.moves = self.lost_vms = self.rounds = 0
+        self.cpu_seconds = 0.0
         self.is_done = False
         for number in range(layout.vms):
             self.add(f"v{number:04d}", number)
@@ -126,10 +137,10 @@
             self.run_round()
         self.view.waves["w"] = state.WaveRow("w", state.WaveStatus.RUNNING)
         for kind, rate in (("fail", failures), ("restart", restarts)):
-            moment = 0.0
-            while rate and moment < DAY:
-                moment += self.rng.expovariate(rate / DAY)
-                self.plan(moment, kind, "")
+            event_time = 0.0
+            while rate and event_time < DAY_SECONDS:
+                event_time += self.rng.expovariate(rate / DAY_SECONDS)
+                self.schedule(event_time, kind, "")
 
     def add(self, vm: str, number: int) -> None:
         """Add a VM; four to a rack, racks in turn over three data centres."""
@@ -138,73 +149,75 @@
             vm, "k", vm, f"r{rack}", f"d{rack % 3}", machines.MachineState.LIVE
         )
 
-    def plan(self, moment: float, kind: str, vm: str) -> None:
+    def schedule(self, event_time: float, kind: str, vm: str) -> None:
         """Put an event on the queue."""
-        heapq.heappush(self.events, (moment, next(self.order), kind, vm))
+        heapq.heappush(self.events, (event_time, next(self.sequence), kind, vm))
 
-    def make_scene(self) -> wave.Snapshot:
+    def build_snapshot(self) -> wave.Snapshot:
         """Return what the decisions see now."""
-        healthy = frozenset(self.machines) - self.sick
-        seen = state.Observation(self.now, self.machines, self.now, healthy)
+        healthy = frozenset(self.machines) - self.unhealthy
+        observation = state.Observation(self.now, self.machines, self.now, healthy)
         busy = frozenset(self.busy)
         daemon = confirmation.DaemonRow("d", "v0000", math.inf, 10**9, busy, 1, {})
         return wave.Snapshot(
-            self.view, self.accepted, seen, (daemon,), 10**9, limits=LIMITS
+            self.view, self.document, observation, (daemon,), 10**9, limits=LIMITS
         )
 
     def run_round(self) -> None:
         """Run one round, and plan the next one if anything changed."""
-        scene = self.make_scene()
-        begin = time.process_time()
-        steps = wave.advance(scene)[0]
-        steps += move.release(scene, self.missing) + move.assign_vms(scene)
-        self.apply(steps)
-        count = len(steps)
+        snapshot = self.build_snapshot()
+        started_at = time.process_time()
+        changes = wave.advance(snapshot)[0]
+        changes += move.release(snapshot, self.missing_since) + move.assign_vms(
+            snapshot
+        )
+        self.apply(changes)
+        change_count = len(changes)
         for pick in (move.pick_moves, self.pick):
-            picked = pick(scene).changes
-            self.check(scene, picked)
-            self.apply(picked)
-            count += len(picked)
-        self.is_done = bool(batch.list_finished(scene))
-        self.spent += time.process_time() - begin
+            picked_changes = pick(snapshot).changes
+            self.check(snapshot, picked_changes)
+            self.apply(picked_changes)
+            change_count += len(picked_changes)
+        self.is_done = bool(batch.list_finished(snapshot))
+        self.cpu_seconds += time.process_time() - started_at
         self.rounds += 1
-        if count:
-            self.plan(self.now + INTERVAL, "tick", "")
+        if change_count:
+            self.schedule(self.now + ROUND_INTERVAL_SECONDS, "tick", "")
 
-    def check(self, scene: wave.Snapshot, picked: Sequence[change.Change]) -> None:
+    def check(self, snapshot: wave.Snapshot, picked: Sequence[change.Change]) -> None:
         """Check that planned stops leave every pool its required VMs."""
-        pools = {pool.name: pool for pool in self.accepted.pools}
-        taken = {item.row.vm for item in picked}
+        pools = {pool.name: pool for pool in self.document.pools}
+        picked_vms = {item.row.vm for item in picked}
         for name in {item.row.pool for item in picked}:
-            up = [
+            serving = [
                 row
-                for row in scene.view.members(name)
+                for row in snapshot.view.members(name)
                 if row.state is state.VmState.UP
-                and row.vm not in taken
-                and scene.observation.is_serving(row.vm)
+                and row.vm not in picked_vms
+                and snapshot.observation.is_serving(row.vm)
             ]
-            assert len(up) >= budget.required(pools[name]), name
+            assert len(serving) >= budget.required(pools[name]), name
 
     def apply(self, changes: Sequence[change.Change]) -> None:
         """Make changes and plan what follows from them."""
         for item in changes:
-            row = item.row._replace(version=next(self.order))
+            row = item.row._replace(version=next(self.sequence))
             if item.step is change.Step.RELEASE:
                 del self.view.vms[row.vm]
                 continue
             self.view.vms[row.vm] = row
             if item.step is change.Step.TAKE:
                 self.busy.add(row.vm)
-                drain = min(120.0, self.rng.lognormvariate(3.4, 0.5))
-                self.drains[row.vm] = drain
+                drain_duration = min(120.0, self.rng.lognormvariate(3.4, 0.5))
+                self.drain_durations[row.vm] = drain_duration
                 self.moves += bool(row.target)
-                self.plan(self.now + drain, "drained", row.vm)
+                self.schedule(self.now + drain_duration, "drained", row.vm)
             elif item.step is change.Step.REBOOT:
-                self.sick.add(row.vm)
-                boot = self.rng.uniform(150.0, 270.0)
-                stop = self.drains[row.vm] + boot
-                self.stops.setdefault(row.pool, []).append(stop)
-                self.plan(self.now + boot, "booted", row.vm)
+                self.unhealthy.add(row.vm)
+                boot_duration = self.rng.uniform(150.0, 270.0)
+                stop_duration = self.drain_durations[row.vm] + boot_duration
+                self.stop_durations.setdefault(row.pool, []).append(stop_duration)
+                self.schedule(self.now + boot_duration, "booted", row.vm)
 
     def handle(self, kind: str, vm: str) -> None:
         """Let one event happen."""
@@ -213,19 +226,19 @@
         elif kind == "booted" and vm in self.machines:
             machine = self.machines[vm]
             self.machines[vm] = machine._replace(boot=machine.boot + 1)
-            self.sick.discard(vm)
+            self.unhealthy.discard(vm)
         elif kind == "restart":
             victim = self.rng.choice(sorted(self.machines))
-            if victim not in self.sick:
-                self.sick.add(victim)
-                self.plan(self.now + RESTART, "booted", victim)
+            if victim not in self.unhealthy:
+                self.unhealthy.add(victim)
+                self.schedule(self.now + RESTART_SECONDS, "booted", victim)
         elif kind == "fail":
             victim = self.rng.choice(sorted(self.machines))
             del self.machines[victim]
-            self.losses += 1
-            self.missing[victim] = self.now
-            self.plan(self.now + move.RELEASE_AFTER_SECONDS, "tick", victim)
-            self.plan(self.now + REPLACED_AFTER, "replace", f"{victim}n")
+            self.lost_vms += 1
+            self.missing_since[victim] = self.now
+            self.schedule(self.now + move.RELEASE_AFTER_SECONDS, "tick", victim)
+            self.schedule(self.now + REPLACEMENT_DELAY_SECONDS, "replace", f"{victim}n")
         elif kind == "replace":
             self.add(vm, self.rng.randrange(self.layout.vms))
 
@@ -233,22 +246,34 @@
         """Run the wave until it has finished, and return the measures."""
         self.run_round()
         while self.events and not self.is_done:
-            moment = self.events[0][0]
-            self.now = math.ceil(moment / INTERVAL) * INTERVAL
+            event_time = self.events[0][0]
+            self.now = (
+                math.ceil(event_time / ROUND_INTERVAL_SECONDS) * ROUND_INTERVAL_SECONDS
+            )
             while self.events and self.events[0][0] <= self.now:
                 _, _, kind, vm = heapq.heappop(self.events)
                 self.handle(kind, vm)
             self.run_round()
-        rollout = self.now
-        total = sum(itertools.chain(*self.stops.values()))
-        if self.layout.shared:
-            bound = total / self.layout.shared
+        rollout_duration = self.now
+        total_stop_duration = sum(itertools.chain(*self.stop_durations.values()))
+        if self.layout.shared_spares:
+            rollout_bound = total_stop_duration / self.layout.shared_spares
         else:
-            bound = max(sum(stops) for stops in self.stops.values()) / self.layout.own
+            rollout_bound = (
+                max(sum(stops) for stops in self.stop_durations.values())
+                / self.layout.own_spares
+            )
         # Each pool lacks one VM once, and in the end the buffer lacks its own.
-        shared = self.layout.shared
-        borrowed = len(self.layout.required) + shared if shared else 0
-        return Result(rollout, bound, self.moves, borrowed, self.losses, self.is_done)
+        shared_spares = self.layout.shared_spares
+        moves_bound = len(self.layout.required) + shared_spares if shared_spares else 0
+        return Result(
+            rollout_duration,
+            rollout_bound,
+            self.moves,
+            moves_bound,
+            self.lost_vms,
+            self.is_done,
+        )
 
 
 def pick_batch(snapshot: wave.Snapshot) -> batch.Picks:
@@ -256,19 +281,19 @@
 
     One VM of each pool at a time, and none before the whole batch is back.
     """
-    active = {
+    active_waves = {
         row.wave
         for row in snapshot.view.vms.values()
         if row.wave and row.state not in (state.VmState.UP, state.VmState.DOWN)
     }
     picks = batch.pick_stops(snapshot)
-    pools: set[tuple[str, str]] = set()
+    picked_wave_pools: set[tuple[str, str]] = set()
     changes = []
     for item in picks.changes:
-        place = (item.row.wave, item.row.pool)
-        if item.row.wave in active or place in pools:
+        wave_pool = (item.row.wave, item.row.pool)
+        if item.row.wave in active_waves or wave_pool in picked_wave_pools:
             continue
-        pools.add(place)
+        picked_wave_pools.add(wave_pool)
         changes.append(item)
     return batch.Picks(tuple(changes), picks.waiting)
 
@@ -282,26 +307,28 @@
 def run_table(name: str, layouts: Sequence[Layout], seeds: int) -> None:
     """Print the measures of each layout, picker and kind of day."""
     widths = (12, 8, 15, 5, 6, 6, 9, 9, 6, 6, 7, 7)
-    head = "layout", "picker", "day", "VMs", "buffer", "bound", "roll-out"
+    header = "layout", "picker", "day", "VMs", "buffer", "bound", "roll-out"
     print(f"\n{name}: {seeds} seeds; roll-out and bound in minutes (mean)")
-    print_row((*head, "bound", "mean", "worst", "moves", "bound"), widths)
+    print_row((*header, "bound", "mean", "worst", "moves", "bound"), widths)
     pickers = {"fixed": pick_batch, "largest": batch.pick_stops}
     days = {"ordinary": {}, "14 and 86": {"failures": 14.0, "restarts": 86.0}}
     for layout, (day, rates) in itertools.product(layouts, days.items()):
         for label, pick in pickers.items():
-            runs = [Loop(layout, pick, seed, **rates).run() for seed in range(seeds)]
-            ratios = [run.rollout / run.bound for run in runs]
-            spare = layout.vms - sum(layout.required)
+            runs = [
+                EventLoop(layout, pick, seed, **rates).run() for seed in range(seeds)
+            ]
+            ratios = [run.rollout / run.rollout_bound for run in runs]
+            spare_vms = layout.vms - sum(layout.required)
             unfinished = sum(not run.is_done for run in runs)
             cells = (
                 layout.name,
                 label,
                 day,
                 layout.vms,
-                spare,
+                spare_vms,
                 1,
                 f"{statistics.fmean(run.rollout for run in runs) / 60:.1f}",
-                f"{statistics.fmean(run.bound for run in runs) / 60:.1f}",
+                f"{statistics.fmean(run.rollout_bound for run in runs) / 60:.1f}",
                 f"{statistics.fmean(ratios):.2f}",
                 f"{max(ratios):.2f}",
                 f"{statistics.fmean(run.moves for run in runs):.1f}",
@@ -314,20 +341,20 @@
 
 def main(arguments: Sequence[str]) -> None:
     """Run all tables."""
-    users = [
+    user_layouts = [
         Layout("per pool", (5,) * 5, 1, 0),
         Layout("two a pool", (5,) * 5, 2, 0),
         Layout("shared 1", (5,) * 5, 0, 1),
         Layout("shared 2", (5,) * 5, 0, 2),
     ]
-    run_table("Altiplano and Dielectra (five pools, five must be up)", users, 20)
+    run_table("Altiplano and Dielectra (five pools, five must be up)", user_layouts, 20)
     if not arguments:
-        sizes = (5,) * 96 + (6,) * 32
-        target = [
-            Layout("per pool", sizes, 1, 0),
-            Layout("shared 4", sizes, 0, 4),
+        required = (5,) * 96 + (6,) * 32
+        target_layouts = [
+            Layout("per pool", required, 1, 0),
+            Layout("shared 4", required, 0, 4),
         ]
-        run_table("800 workers, 128 pools, all in one wave", target, 1)
+        run_table("800 workers, 128 pools, all in one wave", target_layouts, 1)
 
 
 if __name__ == "__main__":
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -22,8 +22,8 @@
 __all__ = ["run"]
 
 EXAMPLE = pathlib.Path(__file__).parents[1] / "examples" / "altiplano.yaml"
-TICKS = os.sysconf("SC_CLK_TCK")
-WARM_UP = 200
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+WARM_UP_REQUESTS = 200
 
 
 class Row(NamedTuple):
@@ -31,34 +31,34 @@
 
     name: str
     callers: int
-    processor: float
-    p50: float
-    p99: float
-    rate: float
+    cpu_ms: float
+    p50_ms: float
+    p99_ms: float
+    requests_per_second: float
 
 
-def read_processor(pid: int) -> float:
+def read_cpu_seconds(pid: int) -> float:
     """Return the processor seconds that a process has used."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
     fields = text.rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
-async def drive(url: str, callers: int, count: int, keyed: bool) -> list[float]:
+async def send_requests(url: str, callers: int, count: int, keyed: bool) -> list[float]:
     """Send ``count`` requests from ``callers`` at once; return their seconds."""
-    took: list[float] = []
-    left = iter(range(count))
-    run = time.monotonic_ns()
+    latencies: list[float] = []
+    numbers = iter(range(count))
+    run_id = time.monotonic_ns()
 
     async def call(client: httpx.AsyncClient) -> None:
-        for number in left:
-            began = time.monotonic()
-            headers = {"idempotency-key": f"{run}-{number}"} if keyed else {}
+        for number in numbers:
+            started_at = time.monotonic()
+            headers = {"idempotency-key": f"{run_id}-{number}"} if keyed else {}
             method = "POST" if keyed else "GET"
-            answer = await client.request(method, url, headers=headers)
-            took.append(time.monotonic() - began)
-            if answer.status_code != 200:
-                raise RuntimeError(f"{url}: {answer.status_code} {answer.text}")
+            response = await client.request(method, url, headers=headers)
+            latencies.append(time.monotonic() - started_at)
+            if response.status_code != 200:
+                raise RuntimeError(f"{url}: {response.status_code} {response.text}")
 
     async with contextlib.AsyncExitStack() as stack:
         clients = [
@@ -70,26 +70,26 @@
         async with anyio.create_task_group() as group:
             for client in clients:
                 group.start_soon(call, client)
-    return took
+    return latencies
 
 
 def measure(
     name: str, pid: int, url: str, callers: int, count: int, keyed: bool = False
 ) -> Row:
     """Drive one hop and return its line."""
-    anyio.run(drive, url, callers, WARM_UP, keyed)
-    before = read_processor(pid)
-    began = time.monotonic()
-    took = sorted(anyio.run(drive, url, callers, count, keyed))
-    passed = time.monotonic() - began
-    used = read_processor(pid) - before
+    anyio.run(send_requests, url, callers, WARM_UP_REQUESTS, keyed)
+    before = read_cpu_seconds(pid)
+    started_at = time.monotonic()
+    latencies = sorted(anyio.run(send_requests, url, callers, count, keyed))
+    elapsed = time.monotonic() - started_at
+    cpu_seconds = read_cpu_seconds(pid) - before
     return Row(
         name,
         callers,
-        1000 * used / count,
-        1000 * took[len(took) // 2],
-        1000 * took[int(len(took) * 0.99)],
-        count / passed,
+        1000 * cpu_seconds / count,
+        1000 * latencies[len(latencies) // 2],
+        1000 * latencies[int(len(latencies) * 0.99)],
+        count / elapsed,
     )
 
 
@@ -102,10 +102,10 @@
     with contextlib.ExitStack() as stack:
         folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         ports = process.Ports()
-        at = site.open_site(stack, folder, ports, EXAMPLE, site.Options(daemons=1))
-        at.activate_document()
-        (name,) = at.daemons
-        workers = list(at.workers.values())[:6]
+        system = site.open_site(stack, folder, ports, EXAMPLE, site.Options(daemons=1))
+        system.activate_document()
+        (name,) = system.daemons
+        workers = list(system.workers.values())[:6]
         hops = {}
         for label, extra in (("one client", []), ("client per worker", ["--clients"])):
             (port,) = ports.allocate()
@@ -113,8 +113,8 @@
             child = process.start(stack, folder, label, [*arguments, *extra, *workers])
             child.wait_for_output("ready")
             hops[f"bare, {label}"] = (child.popen.pid, f"http://127.0.0.1:{port}")
-        url = f"http://127.0.0.1:{at.daemons[name].callers}/order-lookup"
-        hops["daemon"] = (at.children[name].popen.pid, url)
+        url = f"http://127.0.0.1:{system.daemons[name].callers}/order-lookup"
+        hops["daemon"] = (system.children[name].popen.pid, url)
         print_rows(hops, options.callers, options.count)
 
 
@@ -134,13 +134,13 @@
         )
         for row in rows:
             print(
-                f"{row.name:26}{row.callers:8}{row.processor:8.2f}"
-                f"{row.p50:8.1f}{row.p99:8.1f}{row.rate:8.0f}"
+                f"{row.name:26}{row.callers:8}{row.cpu_ms:8.2f}"
+                f"{row.p50_ms:8.1f}{row.p99_ms:8.1f}{row.requests_per_second:8.0f}"
             )
-        best = min(row.processor for row in rows[:2])
+        cheapest_bare_ms = min(row.cpu_ms for row in rows[:2])
         print(
-            f"ratio to the cheaper bare hop: {rows[2].processor / best:.2f}, "
-            f"keyed {rows[3].processor / best:.2f}"
+            f"ratio to the cheaper bare hop: {rows[2].cpu_ms / cheapest_bare_ms:.2f}, "
+            f"keyed {rows[3].cpu_ms / cheapest_bare_ms:.2f}"
         )
 
 
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -18,20 +18,20 @@
 
 __all__ = ["REASONS", "Loss", "explain", "read_lines", "read_time"]
 
-WAITED_LEAST = 0.3
+MIN_WAIT_SECONDS = 0.3
 """Seconds until a job's first start from which on it counts as having waited: a
 start takes some 30 ms where there is room."""
 
-HELD_LEAST = 0.3
+MIN_SPAN_SECONDS = 0.3
 """Seconds for which a reason must have held: a hand-over takes some 50 ms."""
 
-STORE_AWAY = "the leader's store away"
+STORE_UNREACHABLE = "the leader's store away"
 NO_LEADER = "pool without a leader"
 VM_LOST = "runs lost with a VM"
-VMS_COMING = "waited while VMs were on their way"
+VMS_ARRIVING = "waited while VMs were on their way"
 NO_VM_SENT = "waited and no VM was sent"
-LATER = "later steps waited, or ran longer than thought"
-REASONS = (STORE_AWAY, NO_LEADER, VM_LOST, VMS_COMING, NO_VM_SENT, LATER)
+LATER_STEPS = "later steps waited, or ran longer than thought"
+REASONS = (STORE_UNREACHABLE, NO_LEADER, VM_LOST, VMS_ARRIVING, NO_VM_SENT, LATER_STEPS)
 
 
 class Loss(NamedTuple):
@@ -39,7 +39,7 @@
 
     pool: str
     reason: str
-    late: float
+    seconds_late: float
 
 
 class _Span(NamedTuple):
@@ -59,74 +59,83 @@
 
 def explain(lines: Iterable[dict[str, Any]]) -> list[Loss]:
     """Return the late jobs of some daemons' lines, each with its reason."""
-    found = list(lines)
-    marks = _collect_marks(found)
-    waits = {one["job"]: one["waited"] for one in found if _is(one, "job started")}
+    collected = list(lines)
+    spans_by_reason = _collect_spans(collected)
+    waits = {
+        line["job"]: line["waited"]
+        for line in collected
+        if _has_change(line, "job started")
+    }
     losses = []
-    for one in found:
-        if not _is(one, "job complete") or one["took"] <= one["objective"]:
+    for line in collected:
+        if not _has_change(line, "job complete") or line["took"] <= line["objective"]:
             continue
-        end = read_time(one)
-        span = _Span(end - one["took"], end)
-        waited = waits.get(one["job"], 0.0)
-        reason = _find_reason(marks, one["pool"], span, waited)
-        losses.append(Loss(one["pool"], reason, one["took"] - one["objective"]))
+        end = read_time(line)
+        span = _Span(end - line["took"], end)
+        waited = waits.get(line["job"], 0.0)
+        reason = _classify(spans_by_reason, line["pool"], span, waited)
+        losses.append(Loss(line["pool"], reason, line["took"] - line["objective"]))
     return losses
 
 
-def _find_reason(
-    marks: dict[tuple[str, str], list[_Span]], pool: str, span: _Span, waited: float
+def _classify(
+    spans_by_reason: dict[tuple[str, str], list[_Span]],
+    pool: str,
+    span: _Span,
+    waited: float,
 ) -> str:
-    for reason in (STORE_AWAY, NO_LEADER, VM_LOST):
-        if any(span.overlaps(one) for one in marks[reason, pool]):
+    for reason in (STORE_UNREACHABLE, NO_LEADER, VM_LOST):
+        if any(span.overlaps(held) for held in spans_by_reason[reason, pool]):
             return reason
-    if waited < WAITED_LEAST:
-        return LATER
+    if waited < MIN_WAIT_SECONDS:
+        return LATER_STEPS
     waiting = _Span(span.begin, span.begin + waited)
-    coming = any(waiting.overlaps(one) for one in marks[VMS_COMING, pool])
-    return VMS_COMING if coming else NO_VM_SENT
+    arriving = any(
+        waiting.overlaps(held) for held in spans_by_reason[VMS_ARRIVING, pool]
+    )
+    return VMS_ARRIVING if arriving else NO_VM_SENT
 
 
-def _collect_marks(
-    found: list[dict[str, Any]],
+def _collect_spans(
+    lines: list[dict[str, Any]],
 ) -> dict[tuple[str, str], list[_Span]]:
     """Return by reason and pool the spans in which it held."""
-    marks: dict[tuple[str, str], list[_Span]] = collections.defaultdict(list)
+    spans_by_reason: dict[tuple[str, str], list[_Span]] = collections.defaultdict(list)
     leaders: dict[str, str] = {}
-    since: dict[tuple[str, str], float] = {}
-
-    def end(reason: str, pool: str, now: float) -> None:
-        span = _Span(since.pop((reason, pool), now), now)
-        if span.end - span.begin >= HELD_LEAST:
-            marks[reason, pool].append(span)
-
-    for one in found:
-        pool, now, daemon = one.get("pool", ""), read_time(one), one.get("daemon")
-        led = [name for name, leader in leaders.items() if leader == daemon]
-        if _is(one, "renewal of the lease lost"):
-            since.update({(STORE_AWAY, name): now for name in led})
-        elif _is(one, "renewal of the lease back"):
-            for name in led:
-                end(STORE_AWAY, name, now)
-        elif one["change"] in ("leadership given up", "leadership lapsed"):
-            since[NO_LEADER, pool] = now
-        elif _is(one, "leadership claimed"):
+    opened_at: dict[tuple[str, str], float] = {}
+
+    def close_span(reason: str, pool: str, now: float) -> None:
+        span = _Span(opened_at.pop((reason, pool), now), now)
+        if span.end - span.begin >= MIN_SPAN_SECONDS:
+            spans_by_reason[reason, pool].append(span)
+
+    for line in lines:
+        pool, now, daemon = line.get("pool", ""), read_time(line), line.get("daemon")
+        led_pools = [name for name, leader in leaders.items() if leader == daemon]
+        if _has_change(line, "renewal of the lease lost"):
+            opened_at.update({(STORE_UNREACHABLE, name): now for name in led_pools})
+        elif _has_change(line, "renewal of the lease back"):
+            for name in led_pools:
+                close_span(STORE_UNREACHABLE, name, now)
+        elif line["change"] in ("leadership given up", "leadership lapsed"):
+            opened_at[NO_LEADER, pool] = now
+        elif _has_change(line, "leadership claimed"):
             leaders[pool] = daemon
-        elif _is(one, "start"):
-            since.update({(NO_LEADER, name): now for name in led})
-        elif _is(one, "pool loaded"):
-            end(NO_LEADER, pool, now)
-        elif _is(one, "leases lapsed"):
-            marks[VM_LOST, pool].append(_Span(now, now))
-        elif _is(one, "move ordered"):
-            since.setdefault((VMS_COMING, pool), now)
-        elif _is(one, "VM joined"):
-            end(VMS_COMING, pool, now)
-    return marks
+        elif _has_change(line, "start"):
+            opened_at.update({(NO_LEADER, name): now for name in led_pools})
+        elif _has_change(line, "pool loaded"):
+            close_span(NO_LEADER, pool, now)
+        elif _has_change(line, "leases lapsed"):
+            spans_by_reason[VM_LOST, pool].append(_Span(now, now))
+        elif _has_change(line, "move ordered"):
+            opened_at.setdefault((VMS_ARRIVING, pool), now)
+        elif _has_change(line, "VM joined"):
+            close_span(VMS_ARRIVING, pool, now)
+    return spans_by_reason
 
 
-def _is(line: dict[str, Any], what: str) -> bool:
-    return line["change"] == what
+def _has_change(line: dict[str, Any], change: str) -> bool:
+    return line["change"] == change
 
 
 def read_time(line: dict[str, Any]) -> float:
@@ -144,12 +153,12 @@
         Daemons' output.
     """
     counts: collections.Counter[str] = collections.Counter()
-    late: collections.Counter[str] = collections.Counter()
+    seconds_late: collections.Counter[str] = collections.Counter()
     for file in files:
         for loss in explain(read_lines(file.read_text())):
             counts[loss.reason] += 1
-            late[loss.reason] += loss.late
-    for reason, seconds in late.most_common():
+            seconds_late[loss.reason] += loss.seconds_late
+    for reason, seconds in seconds_late.most_common():
         print(f"{reason:48} {counts[reason]:5} jobs {seconds:8.1f} s late")
 
 
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -22,10 +22,10 @@
     """Pass requests on to the workers in turn, until cancelled."""
     shared = httpx.AsyncClient(trust_env=False, timeout=60)
     clients = {
-        one: httpx.AsyncClient(trust_env=False, timeout=60) if per_worker else shared
-        for one in workers
+        worker: httpx.AsyncClient(trust_env=False, timeout=60) if per_worker else shared
+        for worker in workers
     }
-    turn = itertools.cycle(workers)
+    rotation = itertools.cycle(workers)
 
     async def application(scope: dict, receive: Any, send: Any) -> None:
         if scope["type"] != "http":
@@ -36,26 +36,26 @@
             event = await receive()
             body += event.get("body", b"")
             more = event.get("more_body", False)
-        worker = next(turn)
+        worker = next(rotation)
         headers = [item for item in scope["headers"] if item[0] not in HOP_HEADERS]
-        answer = await clients[worker].request(
+        response = await clients[worker].request(
             scope["method"],
             f"http://{worker}{scope['path']}?{scope['query_string'].decode()}",
             headers=headers,
             content=body,
         )
-        kept = [
-            item for item in answer.headers.raw if item[0].lower() not in HOP_HEADERS
+        response_headers = [
+            item for item in response.headers.raw if item[0].lower() not in HOP_HEADERS
         ]
-        size = str(len(answer.content)).encode()
+        size = str(len(response.content)).encode()
         await send(
             {
                 "type": "http.response.start",
-                "status": answer.status_code,
-                "headers": [*kept, (b"content-length", size)],
+                "status": response.status_code,
+                "headers": [*response_headers, (b"content-length", size)],
             }
         )
-        await send({"type": "http.response.body", "body": answer.content})
+        await send({"type": "http.response.body", "body": response.content})
 
     config = hypercorn.config.Config()
     config.bind = [f"127.0.0.1:{port}"]
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -12,43 +12,47 @@
 import time
 from typing import NamedTuple
 
-from benchmarks import placement_cost, placement_mix, placement_ways
+from benchmarks import placement_cost, placement_strategies, placement_workload
 from standins import platformtasks
 from wigeonhitch.placement import core, view
 from wigeonhitch.platform import table, tasks
 
 # Seconds: of a step, between task lists and renewals, by which the task list
 # lags, and after which a run ends whatever waits.
-STEP = 0.25
-LIST_PERIOD = 5.0
-RENEW_PERIOD = 15.0
-LAG = 3.0
-LIMIT = 5400.0
+STEP_SECONDS = 0.25
+LIST_PERIOD_SECONDS = 5.0
+RENEW_PERIOD_SECONDS = 15.0
+TASK_LIST_LAG_SECONDS = 3.0
+MAX_SIMULATED_SECONDS = 5400.0
 
 # The worker that fails whatever is started on it.
-BAD = "w7"
+FAULTY_VM = "w7"
 
 
-class Bench:
+class Simulation:
     """One run of a mix under one way of placing."""
 
-    def __init__(self, way: placement_ways.Way, mix: placement_mix.Mix):
-        self.way = way
-        self.mix = mix
-        self.scheduler = platformtasks.Scheduler(lag=LAG)
-        self.vms = placement_mix.make_vms(
-            placement_mix.make_document(1, 10, placement_mix.WORKERS),
-            placement_mix.WORKERS,
+    def __init__(
+        self,
+        strategy: placement_strategies.Strategy,
+        workload: placement_workload.Workload,
+    ):
+        self.strategy = strategy
+        self.workload = workload
+        self.scheduler = platformtasks.Scheduler(lag=TASK_LIST_LAG_SECONDS)
+        self.vms = placement_workload.make_vms(
+            placement_workload.make_document(1, 10, placement_workload.WORKER_COUNT),
+            placement_workload.WORKER_COUNT,
         )
         self.live = {vm.vm for vm in self.vms}
         self.ended: list[platformtasks.Execution] = []
 
-    def see_vms(self, now: float) -> list[view.Vm]:
+    def observe_vms(self, now: float) -> list[view.Vm]:
         """Return the view: one worker drains for 90 s, then reboots for 30 s."""
-        turn, phase = int(now // 120.0), now % 120.0
-        wave = f"w{turn % placement_mix.WORKERS}"
-        self.live = {vm.vm for vm in self.vms if phase < 90.0 or vm.vm != wave}
-        return [vm._replace(usable=vm.vm != wave) for vm in self.vms]
+        cycle, phase = int(now // 120.0), now % 120.0
+        maintained_vm = f"w{cycle % placement_workload.WORKER_COUNT}"
+        self.live = {vm.vm for vm in self.vms if phase < 90.0 or vm.vm != maintained_vm}
+        return [vm._replace(usable=vm.vm != maintained_vm) for vm in self.vms]
 
     def call(self, call: core.calls.Call, now: float) -> table.Outcome:
         """Carry out a task call."""
@@ -60,35 +64,39 @@
 
     def run(self) -> None:
         """Run until all is done or LIMIT."""
-        coming = collections.deque(self.mix.jobs)
-        steps = 0
+        pending = collections.deque(self.workload.jobs)
+        step_count = 0
         now = 0.0
-        while now < LIMIT and (
-            coming or self.way.waiting or now < placement_mix.CANCEL_AT
+        while now < MAX_SIMULATED_SECONDS and (
+            pending
+            or self.strategy.live_jobs
+            or now < placement_workload.CANCEL_AT_SECONDS
         ):
-            now = steps * STEP
-            steps += 1
-            self.see_vms(now)
+            now = step_count * STEP_SECONDS
+            step_count += 1
+            self.observe_vms(now)
             if now % 1.0 == 0:
-                self.scheduler.advance(now, self.live, {BAD})
-            while coming and coming[0][0] <= now:
-                at, asked = coming.popleft()
-                self.way.submit(asked, at)
-            if now == placement_mix.CANCEL_AT:
-                self.way.cancel(self.mix.wave, now)
-            if now % LIST_PERIOD == 0:
+                self.scheduler.advance(now, self.live, {FAULTY_VM})
+            while pending and pending[0][0] <= now:
+                at, submission = pending.popleft()
+                self.strategy.submit(submission, at)
+            if now == placement_workload.CANCEL_AT_SECONDS:
+                self.strategy.cancel(self.workload.burst, now)
+            if now % LIST_PERIOD_SECONDS == 0:
                 names = [vm.vm for vm in self.vms]
-                self.way.see(self.scheduler.list_tasks((), now), names, now)
+                self.strategy.update_tasks(
+                    self.scheduler.list_tasks((), now), names, now
+                )
                 self._prune()
-            if now % RENEW_PERIOD == 0:
-                self.way.renew(self, now)
-            self.way.step(self, now)
-        self.end = now
+            if now % RENEW_PERIOD_SECONDS == 0:
+                self.strategy.renew(self, now)
+            self.strategy.step(self, now)
+        self.end_time = now
         self.ended.extend(self.scheduler.executions.values())
 
     def _prune(self) -> None:
-        for name, item in list(self.scheduler.executions.items()):
-            if item.ended is not None:
+        for name, execution in list(self.scheduler.executions.items()):
+            if execution.ended is not None:
                 self.ended.append(self.scheduler.executions.pop(name))
 
 
@@ -107,81 +115,111 @@
     seconds: float
 
 
-def judge(bench: Bench, seconds: float) -> Result:
+def evaluate(simulation: Simulation, seconds: float) -> Result:
     """Return the outcome of a run."""
-    first: dict[str, float] = {}
+    first_start: dict[str, float] = {}
     finished: dict[str, platformtasks.Execution] = {}
-    useful = busy = 0.0
-    for item in bench.ended:
-        name = item.spec.task.rpartition("/")[0]
-        first[name] = min(first.get(name, item.started), item.started)
-        spent = item.spec.cores * ((item.ended or bench.end) - item.started)
-        busy += spent if item.started < placement_mix.WINDOW else 0.0
-        if item.state is tasks.TaskState.FINISHED:
-            finished[name] = item
-            if item.ended <= placement_mix.WINDOW:
-                useful += item.work("cores", 0.0) * item.work("duration", 0.0)
-    waits, bulk, last, never = [], [], 0.0, 0
-    for at, asked in bench.mix.jobs:
-        name = f"{asked.team}/{asked.id}"
-        if asked.urgency == "urgent":
-            never += name not in first
-            waits.append(first.get(name, bench.end) - at)
-        elif name not in bench.mix.wave and not asked.id.startswith("x"):
-            done = finished[name].ended if name in finished else LIMIT
-            bulk.append(done <= at + asked.deadline)
-            last = max(last, done)
-    waits.sort()
-    capacity = placement_mix.WORKERS * placement_mix.CORES * placement_mix.WINDOW
+    useful_core_seconds = busy_core_seconds = 0.0
+    for execution in simulation.ended:
+        name = execution.spec.task.rpartition("/")[0]
+        first_start[name] = min(
+            first_start.get(name, execution.started), execution.started
+        )
+        core_seconds = execution.spec.cores * (
+            (execution.ended or simulation.end_time) - execution.started
+        )
+        busy_core_seconds += (
+            core_seconds
+            if execution.started < placement_workload.BULK_WINDOW_SECONDS
+            else 0.0
+        )
+        if execution.state is tasks.TaskState.FINISHED:
+            finished[name] = execution
+            if execution.ended <= placement_workload.BULK_WINDOW_SECONDS:
+                useful_core_seconds += execution.work("cores", 0.0) * execution.work(
+                    "duration", 0.0
+                )
+    urgent_waits, bulk_in_time, last_bulk_end, urgent_never = [], [], 0.0, 0
+    for at, submission in simulation.workload.jobs:
+        name = f"{submission.team}/{submission.id}"
+        if submission.urgency == "urgent":
+            urgent_never += name not in first_start
+            urgent_waits.append(first_start.get(name, simulation.end_time) - at)
+        elif name not in simulation.workload.burst and not submission.id.startswith(
+            "x"
+        ):
+            ended_at = (
+                finished[name].ended if name in finished else MAX_SIMULATED_SECONDS
+            )
+            bulk_in_time.append(ended_at <= at + submission.deadline)
+            last_bulk_end = max(last_bulk_end, ended_at)
+    urgent_waits.sort()
+    capacity = (
+        placement_workload.WORKER_COUNT
+        * placement_workload.CORES_PER_WORKER
+        * placement_workload.BULK_WINDOW_SECONDS
+    )
     return Result(
-        waits[len(waits) // 2],
-        waits[int(0.99 * len(waits))],
-        never,
-        sum(bulk) / len(bulk),
-        last,
-        useful / capacity,
-        busy / capacity - useful / capacity,
-        sum(item.reason == "out of memory" for item in bench.ended),
-        sum(item.spec.vm == BAD for item in bench.ended),
+        urgent_waits[len(urgent_waits) // 2],
+        urgent_waits[int(0.99 * len(urgent_waits))],
+        urgent_never,
+        sum(bulk_in_time) / len(bulk_in_time),
+        last_bulk_end,
+        useful_core_seconds / capacity,
+        busy_core_seconds / capacity - useful_core_seconds / capacity,
+        sum(execution.reason == "out of memory" for execution in simulation.ended),
+        sum(execution.spec.vm == FAULTY_VM for execution in simulation.ended),
         seconds,
     )
 
 
 def compare() -> None:
     """Print the table of the mix under each way of placing."""
-    ways = {
-        "first fit, declared sizes": placement_ways.FirstFit,
-        "core, no learning, no quarantine": lambda: placement_ways.Ours(
-            learn=False, wary=False
+    strategies = {
+        "first fit, declared sizes": placement_strategies.FirstFit,
+        "core, no learning, no quarantine": lambda: placement_strategies.CorePlacement(
+            estimate_sizes=False, use_quarantine=False
         ),
-        "core without learning": lambda: placement_ways.Ours(learn=False),
-        "core without quarantine": lambda: placement_ways.Ours(wary=False),
-        "core": placement_ways.Ours,
+        "core without learning": lambda: placement_strategies.CorePlacement(
+            estimate_sizes=False
+        ),
+        "core without quarantine": lambda: placement_strategies.CorePlacement(
+            use_quarantine=False
+        ),
+        "core": placement_strategies.CorePlacement,
     }
-    workers, wave = placement_mix.WORKERS, placement_mix.WAVE
-    seed = placement_mix.SEED
-    print(f"{workers} workers, seed {seed}, lag {LAG:g} s, {wave} jobs cancelled")
+    worker_count, burst_jobs = (
+        placement_workload.WORKER_COUNT,
+        placement_workload.BURST_JOB_COUNT,
+    )
+    seed = placement_workload.SEED
+    print(
+        f"{worker_count} workers, seed {seed}, "
+        f"lag {TASK_LIST_LAG_SECONDS:g} s, {burst_jobs} jobs cancelled"
+    )
     names = " ".join(f"{name:>12}" for name in Result._fields)
     print(f"{'way':34}{names}")
-    for name, make in ways.items():
-        bench = Bench(make(), placement_mix.make_mix(placement_mix.SEED))
-        begin = time.process_time()
-        bench.run()
-        result = judge(bench, time.process_time() - begin)
+    for name, make_strategy in strategies.items():
+        simulation = Simulation(
+            make_strategy(), placement_workload.build_workload(placement_workload.SEED)
+        )
+        started_at = time.process_time()
+        simulation.run()
+        result = evaluate(simulation, time.process_time() - started_at)
         cells = " ".join(f"{value:12.3f}" for value in result)
         print(f"{name:34}{cells}", flush=True)
 
 
 def main() -> None:
     """Run what the command line names."""
-    what = sys.argv[1] if len(sys.argv) > 1 else "all"
-    if what in ("mix", "all"):
+    selection = sys.argv[1] if len(sys.argv) > 1 else "all"
+    if selection in ("mix", "all"):
         compare()
-    if what in ("cost", "all"):
+    if selection in ("cost", "all"):
         placement_cost.measure_cost()
-    if what in ("duty", "all"):
+    if selection in ("duty", "all"):
         placement_cost.measure_duty()
-    if what in ("site", "all"):
+    if selection in ("site", "all"):
         placement_cost.measure_site()
 
 
--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_workload.py
@@ -7,48 +7,48 @@
 from wigeonhitch.placement import job, view
 
 __all__ = [
-    "CANCEL_AT",
-    "CORES",
-    "MEMORY",
+    "BULK_WINDOW_SECONDS",
+    "BURST_JOB_COUNT",
+    "CANCEL_AT_SECONDS",
+    "CORES_PER_WORKER",
+    "MEMORY_GB_PER_WORKER",
     "POOL",
     "SEED",
-    "WAVE",
-    "WINDOW",
-    "WORKERS",
-    "Mix",
+    "WORKER_COUNT",
+    "Workload",
+    "build_workload",
     "make_document",
-    "make_mix",
     "make_vms",
 ]
 
 SEED = 20
-WORKERS = 30
-CORES, MEMORY = 32.0, 64.0
+WORKER_COUNT = 30
+CORES_PER_WORKER, MEMORY_GB_PER_WORKER = 32.0, 64.0
 
 # Seconds in which bulk jobs are to be done.
-WINDOW = 3600.0
+BULK_WINDOW_SECONDS = 3600.0
 
 POOL = "batch"
 
 # Seconds at which a wave of jobs comes and is cancelled, and how many they are.
-WAVE_AT, CANCEL_AT, WAVE = 600.0, 900.0, 3000
+BURST_AT_SECONDS, CANCEL_AT_SECONDS, BURST_JOB_COUNT = 600.0, 900.0, 3000
 
 
-class Mix(NamedTuple):
+class Workload(NamedTuple):
     """Submissions by time, and what is cancelled at `CANCEL_AT`."""
 
     jobs: list[tuple[float, job.Submission]]
-    wave: set[str]
+    burst: set[str]
 
 
-def make_mix(seed: int) -> Mix:
+def build_workload(seed: int) -> Workload:
     """Return the seeded mix of jobs."""
     rng = random.Random(seed)
     kinds = []
     for _ in range(20):
-        truth = (rng.choice([1.0, 2.0, 4.0, 8.0]), rng.choice([2.0, 4.0, 8.0]))
-        off = (10 ** rng.uniform(-1, 1), 10 ** rng.uniform(-1, 1))
-        kinds.append((truth, off))
+        actual_size = (rng.choice([1.0, 2.0, 4.0, 8.0]), rng.choice([2.0, 4.0, 8.0]))
+        declared_factors = (10 ** rng.uniform(-1, 1), 10 ** rng.uniform(-1, 1))
+        kinds.append((actual_size, declared_factors))
     jobs = []
     at = 0.0
     while at < 1800.0:
@@ -59,13 +59,13 @@
     for index in range(60):
         at = rng.uniform(0.0, 1800.0)
         jobs.append((at, _make_impossible(rng, kinds, len(jobs), index)))
-    wave = set()
-    for _ in range(WAVE):
-        asked = _make_bulk(rng, kinds, len(jobs))
-        jobs.append((WAVE_AT, asked))
-        wave.add(f"{asked.team}/{asked.id}")
+    burst = set()
+    for _ in range(BURST_JOB_COUNT):
+        submission = _make_bulk(rng, kinds, len(jobs))
+        jobs.append((BURST_AT_SECONDS, submission))
+        burst.add(f"{submission.team}/{submission.id}")
     jobs.sort(key=lambda item: item[0])
-    return Mix(jobs, wave)
+    return Workload(jobs, burst)
 
 
 def _make_urgent(rng: random.Random, number: int) -> job.Submission:
@@ -78,16 +78,23 @@
 
 def _make_bulk(rng: random.Random, kinds: list, number: int) -> job.Submission:
     index = rng.randrange(len(kinds))
-    truth, off = kinds[index]
-    vary = rng.uniform(0.8, 1.2)
+    actual_size, declared_factors = kinds[index]
+    variation = rng.uniform(0.8, 1.2)
     duration = rng.uniform(60.0, 600.0)
-    work = {"cores": truth[0], "memory": truth[1] * vary, "duration": duration}
+    work = {
+        "cores": actual_size[0],
+        "memory": actual_size[1] * variation,
+        "duration": duration,
+    }
     declared = (
-        min(CORES, max(0.1, truth[0] * off[0])),
-        min(MEMORY, max(0.2, truth[1] * off[1])),
+        min(CORES_PER_WORKER, max(0.1, actual_size[0] * declared_factors[0])),
+        min(MEMORY_GB_PER_WORKER, max(0.2, actual_size[1] * declared_factors[1])),
     )
     fields = {"kind": f"kind{index}", "work": work}
-    sizes = {"duration": duration * 10 ** rng.uniform(-0.5, 0.5), "deadline": WINDOW}
+    sizes = {
+        "duration": duration * 10 ** rng.uniform(-0.5, 0.5),
+        "deadline": BULK_WINDOW_SECONDS,
+    }
     team = f"team{rng.randrange(10)}"
     return job.Submission(team, f"b{number}", POOL, *declared, **sizes, **fields)
 
@@ -95,12 +102,12 @@
 def _make_impossible(
     rng: random.Random, kinds: list, number: int, index: int
 ) -> job.Submission:
-    asked = _make_bulk(rng, kinds, number)
+    submission = _make_bulk(rng, kinds, number)
     if index % 3 == 0:
-        work = {**asked.work, "fails": True, "duration": 20.0}
-        return asked._replace(id=f"x{number}", kind="failing", work=work)
+        work = {**submission.work, "fails": True, "duration": 20.0}
+        return submission._replace(id=f"x{number}", kind="failing", work=work)
     fields = {"cores": 100.0} if index % 3 == 1 else {"memory": 500.0}
-    return asked._replace(id=f"x{number}", kind="huge", **fields)
+    return submission._replace(id=f"x{number}", kind="huge", **fields)
 
 
 def make_document(pools: int, teams: int, workers: int) -> document.Document:
@@ -110,7 +117,7 @@
     return document.Document(
         fleet="bench",
         data_centres=(),
-        kinds=(document.Kind("large", CORES, MEMORY),),
+        kinds=(document.Kind("large", CORES_PER_WORKER, MEMORY_GB_PER_WORKER),),
         pools=tuple(
             document.Pool(name, "large", workers // pools, document.Budget(number=1))
             for name in names
@@ -118,16 +125,28 @@
         services=(),
         urgencies=(),
         teams=tuple(
-            document.Team(f"team{n}", share * workers * CORES, share * workers * MEMORY)
+            document.Team(
+                f"team{n}",
+                share * workers * CORES_PER_WORKER,
+                share * workers * MEMORY_GB_PER_WORKER,
+            )
             for n in range(teams)
         ),
     )
 
 
-def make_vms(plan: document.Document, workers: int) -> list[view.Vm]:
+def make_vms(fleet_document: document.Document, workers: int) -> list[view.Vm]:
     """Return the workers, dealt out over the pools."""
-    pools = [pool.name for pool in plan.pools]
+    pools = [pool.name for pool in fleet_document.pools]
     return [
-        view.Vm(f"w{n}", pools[n % len(pools)], CORES, MEMORY, f"r{n // 4}", "a", True)
+        view.Vm(
+            f"w{n}",
+            pools[n % len(pools)],
+            CORES_PER_WORKER,
+            MEMORY_GB_PER_WORKER,
+            f"r{n // 4}",
+            "a",
+            True,
+        )
         for n in range(workers)
     ]
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -26,29 +26,31 @@
 from wigeonhitch.membership import duty, holder
 from wigeonhitch.platform import client, table
 
-SECONDS = 20.0
-ANSWER = record.KeptAnswer(200, (("content-type", "application/json"),), b"x" * 400)
-WORK = 0.05
+DURATION_SECONDS = 20.0
+KEPT_ANSWER = record.KeptAnswer(
+    200, (("content-type", "application/json"),), b"x" * 400
+)
+WORK_SECONDS = 0.05
 """Seconds that a worker takes."""
-CALL_SECONDS = 10.0
-DUTIES = 12
-DAEMONS = 3
-SINGLE = batch.DEFAULT_LIMITS._replace(batch_size=1)
-UNLIMITED = batch.Limits(rate=1e6, burst=1e6, batch_size=1, max_in_flight=1000)
+HTTP_DURATION_SECONDS = 10.0
+DUTY_COUNT = 12
+DAEMON_COUNT = 3
+SINGLE_RECORD = batch.DEFAULT_LIMITS._replace(batch_size=1)
+UNLIMITED_WRITES = batch.Limits(rate=1e6, burst=1e6, batch_size=1, max_in_flight=1000)
 
 
-class Run(NamedTuple):
+class Result(NamedTuple):
     """Figures of one run; waits in seconds."""
 
-    asked: int
+    requested: int
     granted: int
     writes: int
     records: int
     waits: list[float]
-    processor: float
+    cpu_seconds: float
 
 
-class Bench:
+class ClaimSimulation:
     """One core, one table, and events in time order."""
 
     def __init__(self, limits: batch.Limits, latency: float, seed: int) -> None:
@@ -57,38 +59,38 @@
         self.store = platformtable.Store()
         self.latency = latency
         self.events: list[tuple[float, int, str, object]] = []
-        self.serial = 0
-        self.asked_at: dict[int, float] = {}
+        self.sequence = 0
+        self.requested_at: dict[int, float] = {}
         self.waits: list[float] = []
-        self.table_seconds = 0.0
+        self.table_cpu_seconds = 0.0
 
-    def push(self, at: float, kind: str, item: object = None) -> None:
+    def schedule(self, at: float, kind: str, item: object = None) -> None:
         """Add an event."""
-        self.serial += 1
-        heapq.heappush(self.events, (at, self.serial, kind, item))
+        self.sequence += 1
+        heapq.heappush(self.events, (at, self.sequence, kind, item))
 
-    def run(self, rate: float) -> Run:
+    def run(self, rate: float) -> Result:
         """Claim, dispatch and complete at ``rate`` requests a second."""
         at = 0.1
-        while at < SECONDS:
-            self.push(at, "ask")
+        while at < DURATION_SECONDS:
+            self.schedule(at, "ask")
             at += self.rng.expovariate(rate)
-        asked = len(self.events)
-        self.push(0.0, "wake")
-        started = time.process_time()
+        requested = len(self.events)
+        self.schedule(0.0, "wake")
+        started_at = time.process_time()
         while self.events:
             now, _, kind, item = heapq.heappop(self.events)
             self.handle(now, kind, item)
-            self.act(now)
-        spent = time.process_time() - started - self.table_seconds
+            self.execute(now)
+        cpu_seconds = time.process_time() - started_at - self.table_cpu_seconds
         counts = self.core.counts
-        return Run(
-            asked,
+        return Result(
+            requested,
             counts["granted"],
             counts["table writes"],
             counts["records written"],
             sorted(self.waits) or [0.0],
-            spent,
+            cpu_seconds,
         )
 
     def handle(self, now: float, kind: str, item: object) -> None:
@@ -96,31 +98,31 @@
         if kind == "ask":
             row = record.build_key("s", str(self.rng.random()))
             ticket = self.core.acquire(row, "print", now, now + 2.0)
-            self.asked_at[ticket] = now
+            self.requested_at[ticket] = now
         elif kind == "done":
-            self.core.settle(item, record.State.ANSWERED, now, ANSWER)
+            self.core.settle(item, record.State.ANSWERED, now, KEPT_ANSWER)
         elif kind == "committed":
             self.core.on_commit(*item, now)
         elif kind == "read":
             self.core.on_read(table.ReadResult(table.Outcome.DONE, time=now + 1.0), now)
 
-    def act(self, now: float) -> None:
+    def execute(self, now: float) -> None:
         """Carry out what the core asks for."""
         for action in self.core.step(now):
             if isinstance(action, batch.Commit):
                 self.commit(action, now)
             elif isinstance(action, decision.Read):
-                self.push(now + self.latency, "read")
+                self.schedule(now + self.latency, "read")
             elif action.kind is decision.Kind.GRANTED:
-                self.waits.append(now - self.asked_at[action.ticket])
-                self.push(now + WORK, "done", action.ticket)
+                self.waits.append(now - self.requested_at[action.ticket])
+                self.schedule(now + WORK_SECONDS, "done", action.ticket)
         wake = self.core.next_wake(now)
         if wake is not None and (not self.events or wake < self.events[0][0]):
-            self.push(max(wake, now + 1e-6), "wake")
+            self.schedule(max(wake, now + 1e-6), "wake")
 
     def commit(self, action: batch.Commit, now: float) -> None:
         """Apply a table write; its answer takes the table's latency."""
-        started = time.process_time()
+        started_at = time.process_time()
         conflicts = self.store.commit(
             action.conditions, action.writes, "t", now + self.latency
         )
@@ -128,85 +130,94 @@
         result = table.CommitResult(
             table.Outcome.DONE, self.store.revision, (), "", now + self.latency
         )
-        self.table_seconds += time.process_time() - started
-        self.push(now + self.latency, "committed", (action.batch, result))
+        self.table_cpu_seconds += time.process_time() - started_at
+        self.schedule(now + self.latency, "committed", (action.batch, result))
 
 
 def compare(rate: float, latency: float) -> None:
     """Print one comparison."""
-    ways = (
+    cases = (
         ("one write a moment", batch.DEFAULT_LIMITS),
-        ("one write a record, same budget", SINGLE),
-        ("one write a record, no budget", UNLIMITED),
+        ("one write a record, same budget", SINGLE_RECORD),
+        ("one write a record, no budget", UNLIMITED_WRITES),
     )
-    for name, limits in ways:
-        run = Bench(limits, latency, seed=1).run(rate)
-        waits = run.waits
+    for name, limits in cases:
+        result = ClaimSimulation(limits, latency, seed=1).run(rate)
+        waits = result.waits
         print(
             f"{rate:6.0f} {latency * 1e3:6.0f}  {name:32s}"
-            f"{run.granted / run.asked:9.0%}"
-            f"{run.writes / SECONDS:10.1f}"
-            f"{run.records / max(run.writes, 1):9.1f}"
+            f"{result.granted / result.requested:9.0%}"
+            f"{result.writes / DURATION_SECONDS:10.1f}"
+            f"{result.records / max(result.writes, 1):9.1f}"
             f"{waits[len(waits) // 2] * 1e3:9.1f}"
             f"{waits[len(waits) * 99 // 100] * 1e3:9.1f}"
-            f"{run.processor / run.asked * 1e6:9.0f}"
+            f"{result.cpu_seconds / result.requested * 1e6:9.0f}"
         )
 
 
-async def offer(claims: store.Claims, rate: float, rng: random.Random) -> None:
+async def generate_claims(
+    claims: store.Claims, rate: float, rng: random.Random
+) -> None:
     """Claim and complete ``rate`` new keys a second."""
 
-    async def use(key: str) -> None:
-        got = await claims.acquire("s", key, "print", timeout=2.0)
-        if got.claim is not None:
-            await anyio.sleep(WORK)
-            await claims.complete(got.claim, ANSWER)
+    async def claim_key(key: str) -> None:
+        acquired = await claims.acquire("s", key, "print", timeout=2.0)
+        if acquired.claim is not None:
+            await anyio.sleep(WORK_SECONDS)
+            await claims.complete(acquired.claim, KEPT_ANSWER)
 
-    end = time.monotonic() + CALL_SECONDS
+    end = time.monotonic() + HTTP_DURATION_SECONDS
     async with anyio.create_task_group() as tasks:
         while time.monotonic() < end:
-            tasks.start_soon(use, str(rng.random()))
+            tasks.start_soon(claim_key, str(rng.random()))
             await anyio.sleep(rng.expovariate(rate))
 
 
-async def call(address: str, rate: float, limits: batch.Limits) -> None:
+async def run_daemons(address: str, rate: float, limits: batch.Limits) -> None:
     """Run three daemons' claims and duties; print their calls by purpose."""
     async with contextlib.AsyncExitStack() as stack:
-        tests = await stack.enter_async_context(httpx.AsyncClient(base_url=address))
+        counters_client = await stack.enter_async_context(
+            httpx.AsyncClient(base_url=address)
+        )
         tasks = await stack.enter_async_context(anyio.create_task_group())
-        offers = []
-        for index in range(DAEMONS):
+        daemons = []
+        for index in range(DAEMON_COUNT):
             rng = random.Random(rate + index)
             name = f"d{index}-{rng.random()}"
             platform = await client.open_client(stack, address, rng=rng, daemon=name)
             duties = holder.Holder(platform, name)
-            for index in range(DUTIES):
+            for index in range(DUTY_COUNT):
                 duties.want(f"pool-{index}")
             claims = store.Claims(platform, platform, name, rng=rng, limits=limits)
             await tasks.start(duties.run)
             await tasks.start(claims.run)
-            offers.append((claims, rng))
+            daemons.append((claims, rng))
         await anyio.sleep(0.5)
-        before = (await tests.get("/counters")).json()
-        started = time.process_time()
+        before = (await counters_client.get("/counters")).json()
+        started_at = time.process_time()
         async with anyio.create_task_group() as running:
-            for claims, rng in offers:
-                running.start_soon(offer, claims, rate, rng)
-        spent = time.process_time() - started
-        after = (await tests.get("/counters")).json()
-        granted = sum(claims.counts["granted"] for claims, _ in offers)
+            for claims, rng in daemons:
+                running.start_soon(generate_claims, claims, rate, rng)
+        cpu_seconds = time.process_time() - started_at
+        after = (await counters_client.get("/counters")).json()
+        granted = sum(claims.counts["granted"] for claims, _ in daemons)
         tasks.cancel_scope.cancel()
-    print_calls(before, after, granted, spent)
+    print_call_rates(before, after, granted, cpu_seconds)
 
 
-def print_calls(before: dict, after: dict, granted: int, spent: float) -> None:
+def print_call_rates(
+    before: dict, after: dict, granted: int, cpu_seconds: float
+) -> None:
     """Print calls a second by purpose, and processor time per claim."""
     parts = []
     for kind in ("reads", "writes"):
         for purpose, count in sorted(after[kind].items()):
-            rate = (count - before[kind].get(purpose, 0)) / CALL_SECONDS
+            rate = (count - before[kind].get(purpose, 0)) / HTTP_DURATION_SECONDS
             parts.append(f"{purpose} {kind} {rate:.1f}/s")
-    print(f"  {granted} granted, {spent / max(granted, 1) * 1e3:.2f} ms processor each")
+    print(
+        f"  {granted} granted, "
+        f"{cpu_seconds / max(granted, 1) * 1e3:.2f} ms processor each"
+    )
     print("  " + ", ".join(parts))
 
 
@@ -228,32 +239,37 @@
 def measure_calls() -> None:
     """Print calls by purpose of three daemons over HTTP."""
     print(
-        f"\n{DAEMONS} daemons over HTTP for {CALL_SECONDS:.0f} s, {DUTIES} duties; "
+        f"\n{DAEMON_COUNT} daemons over HTTP for {HTTP_DURATION_SECONDS:.0f} s, "
+        f"{DUTY_COUNT} duties; "
         "processor time of all three daemons' tasks and clients."
     )
     logging.set_verbosity(logging.ERROR)
     for rate, name, limits in (
         (20, "one write a moment", batch.DEFAULT_LIMITS),
-        (20, "one write a record, no budget", UNLIMITED),
+        (20, "one write a record, no budget", UNLIMITED_WRITES),
         (60, "one write a moment", batch.DEFAULT_LIMITS),
-        (60, "one write a record, no budget", UNLIMITED),
+        (60, "one write a record, no budget", UNLIMITED_WRITES),
     ):
         print(f"{rate} keyed requests a second and daemon, {name}:")
         with start_platform() as address:
-            anyio.run(call, address, rate, limits)
+            anyio.run(run_daemons, address, rate, limits)
 
 
 def step_duties(duties: duty.Duties, rows: platformtable.Store, now: float) -> None:
     """Let one daemon act on its duties, without delay or loss."""
     for action in duties.step(now):
         if isinstance(action, duty.FullRead):
-            looks = [rows.scan(name, action.since) for name in ("daemon/", "duty/")]
-            duties.on_full_read(*(make_result(rows, one, now) for one in looks), now)
+            results = [rows.scan(name, action.since) for name in ("daemon/", "duty/")]
+            duties.on_full_read(
+                *(make_result(rows, found_rows, now) for found_rows in results), now
+            )
             continue
         if isinstance(action, duty.HolderRead):
             holders = rows.read([f"daemon/{name}" for name in action.holders])
-            looks = [holders, rows.scan("duty/", action.since)]
-            duties.on_holder_read(*(make_result(rows, one, now) for one in looks), now)
+            results = [holders, rows.scan("duty/", action.since)]
+            duties.on_holder_read(
+                *(make_result(rows, found_rows, now) for found_rows in results), now
+            )
             continue
         conflicts = rows.commit(action.conditions, action.writes, "t", now)
         outcome = table.Outcome.NOT_DONE if conflicts else table.Outcome.DONE
@@ -262,36 +278,40 @@
 
 
 def make_result(
-    rows: platformtable.Store, found: list[table.Row], now: float
+    rows: platformtable.Store, found_rows: list[table.Row], now: float
 ) -> table.ReadResult:
     """Return what a reading gives whose clock is a second ahead."""
-    return table.ReadResult(table.Outcome.DONE, tuple(found), rows.revision, now + 1.0)
+    return table.ReadResult(
+        table.Outcome.DONE, tuple(found_rows), rows.revision, now + 1.0
+    )
 
 
-def time_takeover(seed: int, leaves: bool) -> float:
+def time_takeover(seed: int, leaves_cleanly: bool) -> float:
     """Return the seconds from the end of a holder to the next lease."""
     rng = random.Random(seed)
     rows = platformtable.Store()
     names = [f"d{index}-{seed}" for index in range(9)]
-    started = {name: rng.uniform(0.0, 10.0) for name in names}
+    started_at = {name: rng.uniform(0.0, 10.0) for name in names}
     daemons = {name: duty.Duties(name) for name in names}
-    end = rng.uniform(100.0, 110.0)
-    ended = None
+    end_after = rng.uniform(100.0, 110.0)
+    ended_at = None
     now = 0.0
     for duties in daemons.values():
         duties.want("fleet")
     while True:
         now += 0.1
         for name, duties in list(daemons.items()):
-            if now >= started[name]:
+            if now >= started_at[name]:
                 step_duties(duties, rows, now)
-        held = [n for n, d in daemons.items() if d.current("fleet", now)]
-        if ended is not None and held:
-            return now - ended
-        if ended is None and now >= end and held:
-            ended = now
-            duties = daemons.pop(held[0])
-            if leaves:
+        holders = [
+            name for name, duties in daemons.items() if duties.current("fleet", now)
+        ]
+        if ended_at is not None and holders:
+            return now - ended_at
+        if ended_at is None and now >= end_after and holders:
+            ended_at = now
+            duties = daemons.pop(holders[0])
+            if leaves_cleanly:
                 duties.leave()
                 step_duties(duties, rows, now)
 
@@ -299,8 +319,8 @@
 def measure_takeovers() -> None:
     """Print times from the end of a holder to the next lease."""
     print("\nNine daemons, one duty, 100 ends of its holder each; seconds.")
-    for name, leaves in (("holder dies", False), ("holder leaves", True)):
-        times = sorted(time_takeover(seed, leaves) for seed in range(100))
+    for name, leaves_cleanly in (("holder dies", False), ("holder leaves", True)):
+        times = sorted(time_takeover(seed, leaves_cleanly) for seed in range(100))
         print(f"  {name}: least {times[0]:.1f}, median {times[50]:.1f}, ", end="")
         print(f"most {times[-1]:.1f}")
 
@@ -308,9 +328,10 @@
 def main() -> None:
     """Print the table."""
     print(
-        f"One daemon, {SECONDS:.0f} s of seeded arrivals, every key new, "
-        f"work {WORK * 1e3:.0f} ms.\nWaits of granted claims; processor time of "
-        "the decisions alone, records encoded.\n"
+        f"One daemon, {DURATION_SECONDS:.0f} s of seeded arrivals, every key new, "
+        f"work {WORK_SECONDS * 1e3:.0f} ms.\n"
+        "Waits of granted claims; processor time of the decisions alone, "
+        "records encoded.\n"
     )
     print(
         f"{'req/s':>6} {'ms':>6}  {'way':32s}{'granted':>9}{'writes/s':>10}"
--- a/benchmarks/plot.py
+++ b/benchmarks/plot.py
@@ -13,11 +13,11 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402 - the backend is chosen first
 
-LIMIT = 5000.0  # bytes a second for control
-TARGET = 220  # daemons
+MAX_CONTROL_BYTES_PER_SECOND = 5000.0  # bytes a second for control
+TARGET_DAEMON_COUNT = 220  # daemons
 
 
-def draw_decisions(found: dict[str, Any], path: pathlib.Path) -> None:
+def draw_decisions(costs: dict[str, Any], path: pathlib.Path) -> None:
     """Draw bytes a second of the decisions over the daemons."""
     figure, axes = pyplot.subplots(figsize=(6, 3.6), dpi=90)
     labels = {
@@ -26,38 +26,48 @@
         "whole": "duties, all rows each look (before)",
     }
     for name, label in labels.items():
-        sizes = sorted(int(size) for size in found[name])
-        bytes_sent = [found[name][str(size)]["bytes"] for size in sizes]
+        sizes = sorted(int(size) for size in costs[name])
+        bytes_sent = [costs[name][str(size)]["bytes"] for size in sizes]
         axes.plot(sizes, bytes_sent, marker="o", label=label)
-    axes.axhline(LIMIT, color="grey", linestyle="--", label="all control may spend")
-    _finish(figure, axes, "daemons", "bytes/s per daemon", path)
+    axes.axhline(
+        MAX_CONTROL_BYTES_PER_SECOND,
+        color="grey",
+        linestyle="--",
+        label="all control may spend",
+    )
+    _save(figure, axes, "daemons", "bytes/s per daemon", path)
 
 
-def draw_daemons(found: list[dict[str, Any]], path: pathlib.Path) -> None:
+def draw_daemons(measurements: list[dict[str, Any]], path: pathlib.Path) -> None:
     """Draw bytes a second of real daemons by part, a bar a run."""
     figure, axes = pyplot.subplots(figsize=(6, 3.6), dpi=90)
-    names = [f"{one['daemons']}\n{one['workers']}" for one in found]
+    names = [
+        f"{measurement['daemons']}\n{measurement['workers']}"
+        for measurement in measurements
+    ]
     parts: dict[str, list[float]] = {}
-    for index, one in enumerate(found):
-        for label, value in _find_parts(one).items():
-            parts.setdefault(label, [0.0] * len(found))[index] += value
-    floor = [0.0] * len(found)
+    for index, measurement in enumerate(measurements):
+        for label, value in _sum_bytes_by_part(measurement).items():
+            parts.setdefault(label, [0.0] * len(measurements))[index] += value
+    bottoms = [0.0] * len(measurements)
     for label, values in sorted(parts.items()):
-        axes.bar(names, values, bottom=floor, label=label)
-        floor = [low + high for low, high in zip(floor, values, strict=True)]
-    axes.axhline(LIMIT, color="grey", linestyle="--")
-    _finish(figure, axes, "daemons / workers", "bytes/s per daemon", path)
+        axes.bar(names, values, bottom=bottoms, label=label)
+        bottoms = [
+            bottom + height for bottom, height in zip(bottoms, values, strict=True)
+        ]
+    axes.axhline(MAX_CONTROL_BYTES_PER_SECOND, color="grey", linestyle="--")
+    _save(figure, axes, "daemons / workers", "bytes/s per daemon", path)
 
 
-def _find_parts(one: dict[str, Any]) -> dict[str, float]:
-    parts = {"peers": sum(one["peer_bytes"].values())}
-    for label, (_, sent) in one["platform"].items():
+def _sum_bytes_by_part(measurement: dict[str, Any]) -> dict[str, float]:
+    parts = {"peers": sum(measurement["peer_bytes"].values())}
+    for label, (_, sent) in measurement["platform"].items():
         name = label.split(" ")[0]
         parts[name] = parts.get(name, 0.0) + sent
     return {name: value for name, value in parts.items() if value >= 1}
 
 
-def _finish(figure: Any, axes: Any, x: str, y: str, path: pathlib.Path) -> None:
+def _save(figure: Any, axes: Any, x: str, y: str, path: pathlib.Path) -> None:
     axes.set_xlabel(x)
     axes.set_ylabel(y)
     axes.set_ylim(bottom=0)
@@ -71,10 +81,10 @@
     """Draw both plots."""
     slope, control, folder = (pathlib.Path(name) for name in sys.argv[1:4])
     folder.mkdir(parents=True, exist_ok=True)
-    found = json.loads(slope.read_text(encoding="utf-8"))
-    draw_decisions(found, folder / "capacity-decisions.png")
-    found = json.loads(control.read_text(encoding="utf-8"))
-    draw_daemons(found, folder / "capacity-daemons.png")
+    figures = json.loads(slope.read_text(encoding="utf-8"))
+    draw_decisions(figures, folder / "capacity-decisions.png")
+    figures = json.loads(control.read_text(encoding="utf-8"))
+    draw_daemons(figures, folder / "capacity-daemons.png")
 
 
 if __name__ == "__main__":
--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -15,42 +15,44 @@
 from wigeonhitch.platform import entries, workers
 from wigeonhitch.pool import compaction, core, planner, view
 
-__all__ = ["main", "make_burst"]
+__all__ = ["build_burst", "main"]
 
 NOW = 100.0
-ROOM = model.Room(32000, 65536)
+VM_CAPACITY = model.Room(32000, 65536)
 
 
-def make_burst(vms: int, jobs: int) -> tuple[core.Pool, planner.Planner]:
+def build_burst(vms: int, jobs: int) -> tuple[core.Pool, planner.Planner]:
     """Return a pool with running work and jobs that wait."""
-    times = view.TimeBounds(6.5, 0.2)
-    pool = core.Pool("p", 10, 1, times, NOW, lambda *_, **__: None)
+    time_bounds = view.TimeBounds(6.5, 0.2)
+    pool = core.Pool("p", 10, 1, time_bounds, NOW, lambda *_, **__: None)
     pool.on_queues([model.Queue("q", "h", "/q/", "p", objective=0.6, stretch=1.6)])
     for number in range(vms):
         id = f"w{number}"
-        entry = entries.WorkerEntry(id, "p", id, "dc", False, ROOM, ("a", "r1"), 5000.0)
+        entry = entries.WorkerEntry(
+            id, "p", id, "dc", False, VM_CAPACITY, ("a", "r1"), 5000.0
+        )
         pool.on_worker(entry, NOW)
         pool.vms[id].recorded = pool.vms[id].answered = True
         pool.vms[id].last_answer = NOW
-    lasting = model.Step(5, model.Room(3000, 4800), 1.0, lasting=True, spread=1)
-    small = model.Step(8, model.Room(1800, 3300), 0.64)
+    lasting_step = model.Step(5, model.Room(3000, 4800), 1.0, lasting=True, spread=1)
+    short_step = model.Step(8, model.Room(1800, 3300), 0.64)
     for number in range(vms):
-        _add(pool, f"l{number}", lasting)
+        _add(pool, f"l{number}", lasting_step)
     for number in range(jobs):
-        _add(pool, f"j{number}", small, small._replace(after=(0,)))
+        _add(pool, f"j{number}", short_step, short_step._replace(after=(0,)))
     return pool, planner.Planner(pool)
 
 
 def measure(vms: int, jobs: int, rounds: int) -> float:
     """Return the mean milliseconds of a round in which some runs end."""
-    pool, made = make_burst(vms, jobs)
-    _confirm(pool, made.plan(NOW, NOW))
-    began = time.process_time()
+    pool, pool_planner = build_burst(vms, jobs)
+    _confirm(pool, pool_planner.plan(NOW, NOW))
+    started_at = time.process_time()
     for number in range(rounds):
-        _end_some(pool, number, 6)
-        _confirm(pool, made.plan(NOW, NOW))
-        made.build_status(NOW, NOW)
-    return (time.process_time() - began) / rounds * 1000
+        _end_runs(pool, number, 6)
+        _confirm(pool, pool_planner.plan(NOW, NOW))
+        pool_planner.build_status(NOW, NOW)
+    return (time.process_time() - started_at) / rounds * 1000
 
 
 def main(*, vms: int = 40, jobs: int = 150, rounds: int = 100) -> None:
@@ -70,8 +72,8 @@
 
 def _add(pool: core.Pool, id: str, *steps: model.Step) -> None:
     job = model.Job(id, "q", "", steps)
-    place = compaction.RowLocation("job00", "p.0")
-    pool.on_job(id, record.JobRecord(job, NOW, False), 20, place)
+    location = compaction.RowLocation("job00", "p.0")
+    pool.on_job(id, record.JobRecord(job, NOW, False), 20, location)
 
 
 def _confirm(pool: core.Pool, orders: list) -> None:
@@ -81,19 +83,20 @@
             pool.on_start(order.run, reply, NOW)
 
 
-def _end_some(pool: core.Pool, number: int, count: int) -> None:
+def _end_runs(pool: core.Pool, number: int, count: int) -> None:
     runs = [run for run in pool.live.values() if not run.step.lasting][:count]
     for run in runs:
-        one = run.vm
+        vm = run.vm
         end = workers.Ended(
-            one.processed_end + 1, run.task, run.number, model.End.DONE, ""
+            vm.processed_end + 1, run.task, run.number, model.End.DONE, ""
         )
         listed = tuple(
-            workers.Running(r.task, r.number, "", 100, 0) for r in one.runs.values()
+            workers.Running(running.task, running.number, "", 100, 0)
+            for running in vm.runs.values()
         )
         done = workers.Verdict.DONE
         reply = workers.HoldReply(done, 5000.0, NOW, NOW, listed, (end,))
-        pool.on_hold(one, reply, NOW)
+        pool.on_hold(vm, reply, NOW)
 
 
 if __name__ == "__main__":
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -18,60 +18,62 @@
 from wigeonhitch.membership import lease
 from wigeonhitch.platform import table
 
-ROUNDS = 20
+ROUND_COUNT = 20
 
 
-def run_cost() -> None:
+def measure_cost() -> None:
     """Print processor time of a round and memory of the view, by size."""
     print("\ncost: processor time of a round, memory of rows and list")
     fleet.print_row(("VMs", "pools", "ms/round", "KB", "KB/VM"), (6, 6, 9, 8, 6))
     for pools in (32, 64, 128):
         layout = fleet.Layout("", (5,) * (pools * 3 // 4) + (6,) * (pools // 4), 1, 0)
         tracemalloc.start()
-        loop = fleet.Loop(layout, batch.pick_stops, 1)
-        used = tracemalloc.get_traced_memory()[0] / 1024
+        loop = fleet.EventLoop(layout, batch.pick_stops, 1)
+        used_kb = tracemalloc.get_traced_memory()[0] / 1024
         tracemalloc.stop()
-        loop.spent, loop.rounds = 0.0, 0
-        for _ in range(ROUNDS):
+        loop.cpu_seconds, loop.rounds = 0.0, 0
+        for _ in range(ROUND_COUNT):
             loop.run_round()
-        cost = loop.spent / loop.rounds * 1e3
-        cells = layout.vms, pools, f"{cost:.1f}", f"{used:.0f}"
-        fleet.print_row((*cells, f"{used / layout.vms:.2f}"), (6, 6, 9, 8, 6))
+        round_ms = loop.cpu_seconds / loop.rounds * 1e3
+        cells = layout.vms, pools, f"{round_ms:.1f}", f"{used_kb:.0f}"
+        fleet.print_row((*cells, f"{used_kb / layout.vms:.2f}"), (6, 6, 9, 8, 6))
 
 
-def run_waves() -> None:
+def measure_waves() -> None:
     """Print processor time of the decisions at 800 VMs, by running waves."""
     print("\n800 VMs, 128 pools: processor time of a round by running waves")
     fleet.print_row(("waves", "ms/round"), (6, 9))
     layout = fleet.Layout("", (5,) * 96 + (6,) * 32, 1, 0)
     for count in (1, 32, 128):
-        loop = fleet.Loop(layout, batch.pick_stops, 1)
-        names = [pool.name for pool in loop.accepted.pools]
-        each = len(names) // count
-        first = loop.accepted.waves[0]
+        loop = fleet.EventLoop(layout, batch.pick_stops, 1)
+        names = [pool.name for pool in loop.document.pools]
+        pools_per_wave = len(names) // count
+        template = loop.document.waves[0]
         waves = tuple(
-            first._replace(name=f"w{number}", pools=tuple(names[number::count][:each]))
+            template._replace(
+                name=f"w{number}", pools=tuple(names[number::count][:pools_per_wave])
+            )
             for number in range(count)
         )
-        loop.accepted = loop.accepted._replace(waves=waves)
+        loop.document = loop.document._replace(waves=waves)
         running = state.WaveStatus.RUNNING
         loop.view.waves = {
             item.name: state.WaveRow(item.name, running) for item in waves
         }
-        scene = loop.make_scene()
-        begin = time.process_time()
-        for _ in range(ROUNDS):
-            observer.list_vms_to_check(scene)
-            wave.advance(scene)
-            move.assign_vms(scene)
-            move.pick_moves(scene)
-            batch.pick_stops(scene)
-            batch.list_finished(scene)
-        spent = (time.process_time() - begin) / ROUNDS * 1e3
-        fleet.print_row((count, f"{spent:.1f}"), (6, 9))
-
-
-class Holder:
+        snapshot = loop.build_snapshot()
+        started_at = time.process_time()
+        for _ in range(ROUND_COUNT):
+            observer.list_vms_to_check(snapshot)
+            wave.advance(snapshot)
+            move.assign_vms(snapshot)
+            move.pick_moves(snapshot)
+            batch.pick_stops(snapshot)
+            batch.list_finished(snapshot)
+        round_ms = (time.process_time() - started_at) / ROUND_COUNT * 1e3
+        fleet.print_row((count, f"{round_ms:.1f}"), (6, 9))
+
+
+class PermanentLeases:
     """Leases of a daemon that holds every duty."""
 
     def current(self, duty: str) -> lease.Lease:
@@ -79,63 +81,68 @@
         return lease.Lease(duty, 1, 1e12)
 
 
-async def run_round(made: runner.Runner, platform: fake.Fake) -> list[float]:
+async def run_round(fleet_runner: runner.Runner, platform: fake.Fake) -> list[float]:
     """Run one round; return reads, commits and processor time in ms."""
     counters = platform.engine.counters
     before = [sum(counters[kind].values()) for kind in ("reads", "writes")]
-    begin = time.process_time()
-    await made.step()
-    spent = time.process_time() - begin
+    started_at = time.process_time()
+    await fleet_runner.step()
+    cpu_seconds = time.process_time() - started_at
     after = [sum(counters[kind].values()) for kind in ("reads", "writes")]
-    return [*(b - a for a, b in zip(before, after, strict=True)), spent * 1e3]
+    return [
+        *(later - earlier for earlier, later in zip(before, after, strict=True)),
+        cpu_seconds * 1e3,
+    ]
 
 
-async def run_reads() -> None:
+async def measure_reads() -> None:
     """Print what rounds of the real runner cost against the fake platform."""
     print("\nrounds of the runner: reads, commits, ms of processor time (with fake)")
     widths = (6, 22, 6, 8, 7)
     fleet.print_row(("VMs", "round", "reads", "commits", "ms"), widths)
     for pools in (32, 64, 128):
         layout = fleet.Layout("", (5,) * (pools * 3 // 4) + (6,) * (pools // 4), 1, 0)
-        loop = fleet.Loop(layout, batch.pick_stops, 1)
-        fields = [one._asdict() for one in loop.machines.values()]
-        for one in fields:
-            del one["state"]
-        platform = fake.Fake(fields)
-        first = [table.Condition("duty/fleet", 0)], [table.Write("duty/fleet", {})]
-        await platform.table.commit(*first, purpose="test")
+        loop = fleet.EventLoop(layout, batch.pick_stops, 1)
+        machines = [machine._asdict() for machine in loop.machines.values()]
+        for machine_fields in machines:
+            del machine_fields["state"]
+        platform = fake.Fake(machines)
+        duty_row = [table.Condition("duty/fleet", 0)], [table.Write("duty/fleet", {})]
+        await platform.table.commit(*duty_row, purpose="test")
         client = platform.client
 
         async def check(address: str) -> bool:
             return bool(address)
 
         clock = functools.partial(operator.attrgetter("now"), platform)
-        calls = observer.Platform(client, client, check, clock)
-        made = runner.Runner(
-            observer.Observer(calls), Holder(), lambda made=loop: made.accepted
+        dependencies = observer.Platform(client, client, check, clock)
+        fleet_runner = runner.Runner(
+            observer.Observer(dependencies),
+            PermanentLeases(),
+            lambda loop=loop: loop.document,
         )
         for _ in range(layout.vms // move.MAX_ASSIGNMENTS_PER_ROUND + 2):
-            await made.step()
-        rows = [("nothing changed", await run_round(made, platform))]
+            await fleet_runner.step()
+        rows = [("nothing changed", await run_round(fleet_runner, platform))]
         platform.now += observer.MAX_LIST_INTERVAL_SECONDS
-        rows.append(("with the VM list", await run_round(made, platform)))
-        small = loop.accepted.waves[0]._replace(pools=("p000",))
-        loop.accepted = loop.accepted._replace(waves=(small,))
-        begun = [
+        rows.append(("with the VM list", await run_round(fleet_runner, platform)))
+        single_pool_wave = loop.document.waves[0]._replace(pools=("p000",))
+        loop.document = loop.document._replace(waves=(single_pool_wave,))
+        wave_writes = [
             table.Write("wave/w", {"status": "running"}),
             table.Write(state.SIGNAL, {}),
         ]
         await platform.table.commit(
-            [table.Condition("wave/w", 0)], begun, purpose="test"
+            [table.Condition("wave/w", 0)], wave_writes, purpose="test"
         )
-        rows.append(("one stop begins", await run_round(made, platform)))
-        rows.append(("one stop under way", await run_round(made, platform)))
+        rows.append(("one stop begins", await run_round(fleet_runner, platform)))
+        rows.append(("one stop under way", await run_round(fleet_runner, platform)))
         for label, cells in rows:
-            shown = (int(cells[0]), int(cells[1]), f"{cells[2]:.1f}")
-            fleet.print_row((layout.vms, label, *shown), widths)
+            formatted = (int(cells[0]), int(cells[1]), f"{cells[2]:.1f}")
+            fleet.print_row((layout.vms, label, *formatted), widths)
 
 
 if __name__ == "__main__":
-    run_cost()
-    run_waves()
-    anyio.run(run_reads)
+    measure_cost()
+    measure_waves()
+    anyio.run(measure_reads)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -10,9 +10,9 @@
 from wigeonhitch.routing import action, event, link
 
 # Seconds of arrivals of each run.
-LENGTH = 20.0
+DURATION_SECONDS = 20.0
 
-SLOTS = 48
+TOTAL_SLOTS = 48
 
 SEEDS = (1, 2, 3)
 
@@ -37,22 +37,24 @@
     load: float, case: str, policy: link.Policy, seed: int
 ) -> tuple[float, ...]:
     loop = routing_loop.EventLoop(seed=seed, policy=policy)
-    size = [0]
+    sent_bytes = [0]
 
-    def weigh(tell: action.SendMessages) -> None:
-        size[0] += sum(routing_decisions.count_bytes(each) for each in tell.messages)
+    def add_bytes(sent: action.SendMessages) -> None:
+        sent_bytes[0] += sum(
+            routing_decisions.count_bytes(each) for each in sent.messages
+        )
 
-    loop.on_message = weigh
+    loop.on_message = add_bytes
     if case == "slow":
         loop.workers["vm0"].slowdown = 4.0
     factors = [worker.slowdown for worker in loop.workers.values()]
     rate = load * sum(8 / factor for factor in factors) / 0.05
     weights = [5.0, 3.0] + [1.0] * 7 if case == "skew" else None
-    loop.offer_load(rate, 0.0, LENGTH, weights=weights)
-    loop.run(LENGTH + 40.0)
+    loop.offer_load(rate, 0.0, DURATION_SECONDS, weights=weights)
+    loop.run(DURATION_SECONDS + 40.0)
     arrivals = loop.list_arrivals()
-    plain = routing_waits.compute_ideal_waits(arrivals, factors, 0.0, 8)
-    turn = routing_waits.compute_ideal_waits(
+    ideal_waits = routing_waits.compute_ideal_waits(arrivals, factors, 0.0, 8)
+    turnaround_waits = routing_waits.compute_ideal_waits(
         arrivals, factors, 2 * routing_loop.HOP_SECONDS, 8
     )
     waits = [
@@ -61,11 +63,11 @@
     requests = len(arrivals)
     return (
         1e3 * routing_waits.quantile(waits, 0.99),
-        1e3 * routing_waits.quantile(plain, 0.99),
-        1e3 * routing_waits.quantile(turn, 0.99),
+        1e3 * routing_waits.quantile(ideal_waits, 0.99),
+        1e3 * routing_waits.quantile(turnaround_waits, 0.99),
         loop.counts["refusals"] / requests,
         loop.counts["messages"] / requests,
-        size[0] / requests,
+        sent_bytes[0] / requests,
     )
 
 
@@ -73,13 +75,13 @@
     """Print waits while the counting daemon is lost, for 5 s from 5 s on."""
     print("\np99 wait (ms) at 90% of requests that arrive in the 5 s of a fault")
     print("fault       policy      " + "".join(f"  seed {seed}" for seed in SEEDS))
-    owner, own = link.Policy.OWNER, link.Policy.LOCAL_COUNTS
+    owner, local_counts = link.Policy.OWNER, link.Policy.LOCAL_COUNTS
     for fault, policy in (
         ("none", owner),
         ("kill", owner),
         ("pause", owner),
         ("cut", owner),
-        ("none", own),
+        ("none", local_counts),
     ):
         waits = [_measure_fault(fault, policy, seed) for seed in SEEDS]
         cells = "".join(f"{wait:8.1f}" for wait in waits)
@@ -90,7 +92,7 @@
     loop = routing_loop.EventLoop(seed=seed, policy=policy)
     owner = loop.find_owner()
     weights = [0.0 if name == owner else 1.0 for name in loop.names]
-    loop.offer_load(0.9 * SLOTS / 0.05, 0.0, LENGTH, weights=weights)
+    loop.offer_load(0.9 * TOTAL_SLOTS / 0.05, 0.0, DURATION_SECONDS, weights=weights)
     if fault == "kill":
         loop.call_at(5.0, loop.kill, owner)
     elif fault == "pause":
@@ -99,7 +101,7 @@
     elif fault == "cut":
         loop.call_at(5.0, loop.partitioned.add, owner)
         loop.call_at(10.0, loop.partitioned.discard, owner)
-    loop.run(LENGTH + 40.0)
+    loop.run(DURATION_SECONDS + 40.0)
     return 1e3 * routing_waits.quantile(
         [
             done.wait
@@ -123,35 +125,35 @@
 
 def _measure_overload(policy: link.Policy, load: float) -> None:
     loop = routing_loop.EventLoop(policy=policy)
-    classes = (event.Urgency("urgent", 1.7), event.Urgency("bulk", 3600.0))
+    urgencies = (event.Urgency("urgent", 1.7), event.Urgency("bulk", 3600.0))
     for name in loop.names:
-        loop.deliver(name, event.UrgenciesChanged(classes))
-    rate = load * SLOTS / 0.05
-    loop.offer_load(0.2 * rate, 0.0, LENGTH, timeout=2.0)
+        loop.deliver(name, event.UrgenciesChanged(urgencies))
+    rate = load * TOTAL_SLOTS / 0.05
+    loop.offer_load(0.2 * rate, 0.0, DURATION_SECONDS, timeout=2.0)
     bulk = {"urgency": "bulk", "team": "closing", "timeout": 5.0}
-    loop.offer_load(0.8 * rate, 0.0, LENGTH, **bulk)
-    loop.run(LENGTH)
+    loop.offer_load(0.8 * rate, 0.0, DURATION_SECONDS, **bulk)
+    loop.run(DURATION_SECONDS)
     busy = sum(worker.busy_seconds for worker in loop.workers.values()) / (
-        SLOTS * LENGTH
+        TOTAL_SLOTS * DURATION_SECONDS
     )
-    good = sum(
+    goodput = sum(
         loop.get_work(number)
         for number, done in loop.completed.items()
         if done.verdict.ran.name == "YES"
-    ) / (SLOTS * LENGTH)
-    loop.run(LENGTH + 20.0)
+    ) / (TOTAL_SLOTS * DURATION_SECONDS)
+    loop.run(DURATION_SECONDS + 20.0)
     urgent = [done for done in loop.completed.values() if done.urgency == "urgent"]
-    good_urgent = [done for done in urgent if done.verdict.ran.name == "YES"]
-    times = [done.answered_at - done.arrived_at for done in good_urgent]
+    completed_urgent = [done for done in urgent if done.verdict.ran.name == "YES"]
+    times = [done.answered_at - done.arrived_at for done in completed_urgent]
     refused = [
         done.answered_at - done.arrived_at
         for done in loop.completed.values()
         if done.verdict.ran.name == "NO"
     ]
     print(
-        f"{policy.value:10} {load:5.1f} {busy:5.1%} {good:8.1%}"
+        f"{policy.value:10} {load:5.1f} {busy:5.1%} {goodput:8.1%}"
         f" {1e3 * routing_waits.quantile(times, 0.99):14.1f}"
-        f" {len(good_urgent) / len(urgent):10.1%}"
+        f" {len(completed_urgent) / len(urgent):10.1%}"
         f" {1e3 * routing_waits.quantile(refused, 0.99):17.1f}"
     )
 
--- a/benchmarks/routing_decisions.py
+++ b/benchmarks/routing_decisions.py
@@ -15,7 +15,7 @@
 
 # Workers, pools, daemons: today, a quarter, the target, and three off the line
 # so that the slopes can be told apart.
-SIZES = (
+FLEET_SIZES = (
     (30, 5, 9),
     (200, 32, 60),
     (800, 128, 220),
@@ -24,7 +24,7 @@
     (800, 5, 9),
 )
 
-ROUNDS = 4000
+EVENT_COUNT = 4000
 
 
 def count_bytes(message: Any) -> int:
@@ -62,15 +62,18 @@
     print("daemons  kept idle  with slots in use  by own counts")
     for daemons in (9, 60, 220):
         members = [f"d{n}" for n in range(daemons)]
-        kept = sum(
-            rendezvous.compute_connection_limit("vm", own, members, 52)
-            for own in members
+        idle_connections = sum(
+            rendezvous.compute_connection_limit("vm", member, members, 52)
+            for member in members
         )
-        own_counts = sum(
-            rendezvous.compute_connection_limit("vm", own, members, 60)
-            for own in members
+        local_connections = sum(
+            rendezvous.compute_connection_limit("vm", member, members, 60)
+            for member in members
+        )
+        print(
+            f"{daemons:7} {idle_connections:10} {idle_connections + 8:18}"
+            f" {local_connections:14}"
         )
-        print(f"{daemons:7} {kept:10} {kept + 8:18} {own_counts:14}")
 
 
 def compare_sizes() -> None:
@@ -78,8 +81,8 @@
     print("microseconds of processor time per decision")
     print("workers pools daemons  arrive  grant answer |  ask return | KB/pool")
     rows = []
-    for workers, pools, daemons in SIZES:
-        times = _measure_asker(workers, pools, daemons)
+    for workers, pools, daemons in FLEET_SIZES:
+        times = _measure_client(workers, pools, daemons)
         times += _measure_owner(workers, pools, daemons)
         memory = _measure_memory(workers, pools, daemons)
         rows.append((workers / pools, daemons, times))
@@ -91,97 +94,97 @@
         print(f"  {name:7} {a:7.2f} + {b:7.3f}·workers + {c:7.4f}·daemons")
 
 
-def _make(own: str, workers: int, pools: int, daemons: int) -> core.Core:
-    made = core.Core(own, 1)
+def _build_core(daemon: str, workers: int, pools: int, daemons: int) -> core.Core:
+    routing_core = core.Core(daemon, 1)
     members = frozenset(f"d{n}" for n in range(daemons))
-    made.handle(event.MembersChanged(members), 0.0)
-    each = workers // pools
+    routing_core.handle(event.MembersChanged(members), 0.0)
+    workers_per_pool = workers // pools
     view = {
-        f"p{p}": tuple(event.Worker(f"vm{p}-{n}") for n in range(each))
+        f"p{p}": tuple(event.Worker(f"vm{p}-{n}") for n in range(workers_per_pool))
         for p in range(pools)
     }
-    made.handle(event.ViewChanged(1, view), 0.0)
-    return made
+    routing_core.handle(event.ViewChanged(1, view), 0.0)
+    return routing_core
 
 
-def _measure_asker(workers: int, pools: int, daemons: int) -> list[float]:
+def _measure_client(workers: int, pools: int, daemons: int) -> list[float]:
     """Return times of an arrival, a grant and an answer, over all pools."""
     members = [f"d{n}" for n in range(daemons)]
-    asker = _make("d0", workers, pools, daemons)
+    client = _build_core("d0", workers, pools, daemons)
     remote = {
         pool: rank[0]
         for pool in (f"p{n}" for n in range(pools))
         if (rank := rendezvous.rank(pool, members))[0] != "d0"
     }
     names = sorted(remote)
-    spent = [0.0, 0.0, 0.0]
-    for number in range(1, ROUNDS + len(names) + 1):
+    cpu_seconds = [0.0, 0.0, 0.0]
+    for number in range(1, EVENT_COUNT + len(names) + 1):
         now = number * 1e-4
         pool = names[number % len(names)]
         arrival = event.Arrived(number, "s", pool, "urgent", "t", now + 60.0, False)
-        begin = time.process_time()
-        actions = asker.handle(arrival, now)
-        spent[0] += time.process_time() - begin
-        told = [act for act in actions if isinstance(act, action.SendMessages)]
-        if isinstance(told[0].messages[0], peer.Report):
+        started_at = time.process_time()
+        actions = client.handle(arrival, now)
+        cpu_seconds[0] += time.process_time() - started_at
+        sent = [act for act in actions if isinstance(act, action.SendMessages)]
+        if isinstance(sent[0].messages[0], peer.Report):
             welcome = event.Received(remote[pool], (peer.Welcome(pool),))
-            asker.handle(welcome, now)
+            client.handle(welcome, now)
         else:
-            ask = told[0].messages[0]
+            ask = sent[0].messages[0]
             grant = peer.Grant(pool, ask.ask, f"vm{pool[1:]}-0")
-            begin = time.process_time()
-            actions = asker.handle(event.Received(remote[pool], (grant,)), now)
-            spent[1] += time.process_time() - begin
+            started_at = time.process_time()
+            actions = client.handle(event.Received(remote[pool], (grant,)), now)
+            cpu_seconds[1] += time.process_time() - started_at
         send = next(act for act in actions if isinstance(act, action.Send))
         end = event.AttemptEnded(number, send.attempt, verdict.ran(), 0.05)
-        begin = time.process_time()
-        asker.handle(end, now)
-        spent[2] += time.process_time() - begin
-    return [each / ROUNDS for each in spent]
+        started_at = time.process_time()
+        client.handle(end, now)
+        cpu_seconds[2] += time.process_time() - started_at
+    return [each / EVENT_COUNT for each in cpu_seconds]
 
 
 def _measure_owner(workers: int, pools: int, daemons: int) -> list[float]:
     """Return times of an ask and a return, with the pool's slots half used."""
-    owner = _make("d0", workers, pools, daemons)
+    owner = _build_core("d0", workers, pools, daemons)
     others = [f"d{n}" for n in range(1, daemons)]
     for other in others:
         joins = tuple(peer.Report(f"p{n}", (), True) for n in range(pools))
         owner.handle(event.Received(other, joins), 0.0)
     held: list[tuple[str, str, int]] = []
-    spent = [0.0, 0.0]
+    cpu_seconds = [0.0, 0.0]
     half = workers * 8 // 2
-    for number in range(1, ROUNDS + half + 1):
+    for number in range(1, EVENT_COUNT + half + 1):
         now = 1.0 + number * 1e-4
         pool = f"p{number % pools}"
         daemon = others[number % len(others)]
         ask = peer.Ask(pool, number, 0, f"t{number % 130}", 0.0, 2.0, 60.0)
-        begin = time.process_time()
+        started_at = time.process_time()
         owner.handle(event.Received(daemon, (ask,)), now)
-        spent[0] += time.process_time() - begin
+        cpu_seconds[0] += time.process_time() - started_at
         held.append((daemon, pool, number))
         if number > half:
-            daemon, pool, old = held[number - half - 1]
-            back = peer.Return(pool, old, peer.Outcome.OK, 0.05)
-            begin = time.process_time()
-            owner.handle(event.Received(daemon, (back,)), now)
-            spent[1] += time.process_time() - begin
-    return [spent[0] / (ROUNDS + half), spent[1] / ROUNDS]
+            daemon, pool, returned_number = held[number - half - 1]
+            returned = peer.Return(pool, returned_number, peer.Outcome.OK, 0.05)
+            started_at = time.process_time()
+            owner.handle(event.Received(daemon, (returned,)), now)
+            cpu_seconds[1] += time.process_time() - started_at
+    return [cpu_seconds[0] / (EVENT_COUNT + half), cpu_seconds[1] / EVENT_COUNT]
 
 
 def _measure_memory(workers: int, pools: int, daemons: int) -> float:
     """Return KB per pool of a daemon that uses and counts every pool."""
     tracemalloc.start()
-    begin = tracemalloc.get_traced_memory()[0]
-    made = _make("d0", workers, pools, daemons)
+    bytes_before = tracemalloc.get_traced_memory()[0]
+    routing_core = _build_core("d0", workers, pools, daemons)
     for number in range(pools):
         join = peer.Report(f"p{number}", (), True)
-        made.handle(event.Received("d1", (join,)), 0.0)
+        routing_core.handle(event.Received("d1", (join,)), 0.0)
         pool = f"p{number}"
         arrival = event.Arrived(number + 1, "s", pool, "urgent", "t", 60.0, False)
-        made.handle(arrival, 0.0)
-    size = tracemalloc.get_traced_memory()[0] - begin
+        routing_core.handle(arrival, 0.0)
+    used_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
-    return size / 1024.0 / pools
+    return used_bytes / 1024.0 / pools
 
 
 def _fit(points: list[tuple[float, float, float]]) -> list[float]:
--- a/benchmarks/routing_loop.py
+++ b/benchmarks/routing_loop.py
@@ -83,28 +83,28 @@
         self.on_message: Callable[[action.SendMessages], None] | None = None
         self.on_action: Callable[[str, action.Action], None] | None = None
         self._heap: list[tuple[float, int, Callable, tuple]] = []
-        self._count = 0
+        self._sequence = 0
         self._ticks: dict[str, float] = {}
         self._arrivals: dict[int, tuple[event.Arrived, float, str]] = {}
-        self._work: dict[int, float] = {}
+        self._work_seconds: dict[int, float] = {}
         self._started_at: dict[int, float] = {}
-        self._open: dict[tuple[str, int], tuple[action.Send, float]] = {}
+        self._open_attempts: dict[tuple[str, int], tuple[action.Send, float]] = {}
         self._running: dict[tuple[str, int], Worker] = {}
         self.set_members(self.names)
         self.set_view(1)
 
     # The world around the daemons.
 
-    def call_at(self, when: float, do: Callable, *args: Any) -> None:
+    def call_at(self, at: float, callback: Callable, *args: Any) -> None:
         """Call ``do`` at a time."""
-        self._count += 1
-        heapq.heappush(self._heap, (when, self._count, do, args))
+        self._sequence += 1
+        heapq.heappush(self._heap, (at, self._sequence, callback, args))
 
     def run(self, until: float) -> None:
         """Run until a time."""
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, do, args = heapq.heappop(self._heap)
-            do(*args)
+            self.now, _, callback, args = heapq.heappop(self._heap)
+            callback(*args)
         self.now = until
 
     def set_members(self, members: list[str]) -> None:
@@ -141,7 +141,7 @@
             number, "s", POOL, urgency, team, self.now + timeout, idempotent
         )
         self._arrivals[number] = (arrival, self.now, daemon)
-        self._work[number] = work
+        self._work_seconds[number] = work
         self.deliver(daemon, arrival)
         return number
 
@@ -152,7 +152,7 @@
         end: float,
         weights: list[float] | None = None,
         work: Callable[[random.Random], float] | None = None,
-        **kind: Any,
+        **options: Any,
     ) -> None:
         """Let requests arrive at random, ``rate`` a second, over the daemons."""
         work = work or draw_work
@@ -160,13 +160,13 @@
 
         def arrive_next() -> None:
             names = [name for name in self.names if name not in self.killed]
-            chances = None
+            daemon_weights = None
             if weights is not None:
-                chances = [weights[self.names.index(name)] for name in names]
-            self.submit(rng.choices(names, chances)[0], work(rng), **kind)
-            when = self.now + rng.expovariate(rate)
-            if when < end:
-                self.call_at(when, arrive_next)
+                daemon_weights = [weights[self.names.index(name)] for name in names]
+            self.submit(rng.choices(names, daemon_weights)[0], work(rng), **options)
+            at = self.now + rng.expovariate(rate)
+            if at < end:
+                self.call_at(at, arrive_next)
 
         self.call_at(start + rng.expovariate(rate), arrive_next)
 
@@ -176,11 +176,11 @@
 
     def get_work(self, number: int) -> float:
         """Return the seconds of work of a request."""
-        return self._work[number]
+        return self._work_seconds[number]
 
     def list_arrivals(self) -> list[tuple[float, float]]:
         """Return time and work of each request, in order."""
-        return [(when, self._work[n]) for n, (_, when, _) in self._arrivals.items()]
+        return [(at, self._work_seconds[n]) for n, (_, at, _) in self._arrivals.items()]
 
     def kill(self, daemon: str) -> None:
         """End a daemon; callers of its requests get nothing."""
@@ -192,8 +192,8 @@
 
     def resume(self, daemon: str) -> None:
         """Let a daemon go on."""
-        for what in self.paused.pop(daemon):
-            self.deliver(daemon, what)
+        for waiting in self.paused.pop(daemon):
+            self.deliver(daemon, waiting)
 
     def find_owner(self) -> str:
         """Return the daemon that counts the slots."""
@@ -201,52 +201,54 @@
 
     # Daemons.
 
-    def deliver(self, daemon: str, what: event.Event) -> None:
+    def deliver(self, daemon: str, incoming: event.Event) -> None:
         """Give an event to a daemon and do what it says."""
         if daemon in self.killed:
             return
         if daemon in self.paused:
-            if not isinstance(what, event.Tick):
-                self.paused[daemon].append(what)
+            if not isinstance(incoming, event.Tick):
+                self.paused[daemon].append(incoming)
             return
-        for act in self.cores[daemon].handle(what, self.now):
+        for act in self.cores[daemon].handle(incoming, self.now):
             if self.on_action is not None:
                 self.on_action(daemon, act)
-            self._do(daemon, act)
-        when = self.cores[daemon].next_timer()
-        if when is not None and self._ticks.get(daemon, when + 1.0) != when:
-            self._ticks[daemon] = when
-            self.call_at(max(when, self.now), self._tick, daemon, when)
-
-    def _tick(self, daemon: str, when: float) -> None:
-        if self._ticks.get(daemon) == when:
+            self._execute(daemon, act)
+        at = self.cores[daemon].next_timer()
+        if at is not None and self._ticks.get(daemon, at + 1.0) != at:
+            self._ticks[daemon] = at
+            self.call_at(max(at, self.now), self._tick, daemon, at)
+
+    def _tick(self, daemon: str, at: float) -> None:
+        if self._ticks.get(daemon) == at:
             del self._ticks[daemon]
             if daemon in self.paused:
-                self.call_at(self.now + 0.01, self._tick, daemon, when)
-                self._ticks[daemon] = when
+                self.call_at(self.now + 0.01, self._tick, daemon, at)
+                self._ticks[daemon] = at
                 return
             self.deliver(daemon, event.Tick())
 
-    def _do(self, daemon: str, act: action.Action) -> None:
+    def _execute(self, daemon: str, act: action.Action) -> None:
         if isinstance(act, action.Send):
             self.counts["sends"] += 1
-            self._open[(daemon, act.attempt)] = (act, self.now)
-            self.call_at(self.now + HOP_SECONDS, self._reach, daemon, act)
-            late = verdict.may_have_run(verdict.Reason.TIMEOUT)
-            self.call_at(self.now + act.timeout, self._abort, daemon, act.attempt, late)
+            self._open_attempts[(daemon, act.attempt)] = (act, self.now)
+            self.call_at(self.now + HOP_SECONDS, self._reach_worker, daemon, act)
+            timed_out = verdict.may_have_run(verdict.Reason.TIMEOUT)
+            self.call_at(
+                self.now + act.timeout, self._abort, daemon, act.attempt, timed_out
+            )
         elif isinstance(act, action.Answer):
             self._answer(act)
         elif isinstance(act, action.Abort):
-            gone = verdict.may_have_run(verdict.Reason.CANCELLED)
-            self._abort(daemon, act.attempt, gone)
+            cancelled = verdict.may_have_run(verdict.Reason.CANCELLED)
+            self._abort(daemon, act.attempt, cancelled)
         else:
             self.counts["frames"] += 1
             self.counts["messages"] += len(act.messages)
             if self.on_message is not None:
                 self.on_message(act)
             if daemon not in self.partitioned and act.daemon not in self.partitioned:
-                what = event.Received(daemon, act.messages)
-                self.call_at(self.now + HOP_SECONDS, self.deliver, act.daemon, what)
+                incoming = event.Received(daemon, act.messages)
+                self.call_at(self.now + HOP_SECONDS, self.deliver, act.daemon, incoming)
 
     def _answer(self, act: action.Answer) -> None:
         assert act.request not in self.completed, "answered twice"
@@ -256,7 +258,7 @@
             arrived_at, self.now, act.verdict, started_at, arrival.urgency, arrival.team
         )
 
-    def _end(
+    def _end_attempt(
         self,
         daemon: str,
         send: action.Send,
@@ -264,35 +266,40 @@
         failed: bool,
     ) -> None:
         """End an attempt once, by answer, timeout or abort."""
-        opened = self._open.pop((daemon, send.attempt), None)
-        if opened is not None:
-            seconds = self.now - opened[1]
-            what = event.AttemptEnded(
+        open_attempt = self._open_attempts.pop((daemon, send.attempt), None)
+        if open_attempt is not None:
+            seconds = self.now - open_attempt[1]
+            incoming = event.AttemptEnded(
                 send.request, send.attempt, result, seconds, failed
             )
-            self.deliver(daemon, what)
+            self.deliver(daemon, incoming)
 
     # Workers.
 
     def _abort(self, daemon: str, attempt: int, result: verdict.Verdict) -> None:
         """Close the connection of an attempt; the worker stops, unless frozen."""
-        opened = self._open.get((daemon, attempt))
-        if opened is None:
+        open_attempt = self._open_attempts.get((daemon, attempt))
+        if open_attempt is None:
             return
         worker = self._running.get((daemon, attempt))
         if worker is not None and worker.mode != "frozen":
             del self._running[daemon, attempt]
             worker.running -= 1
         self.call_at(
-            self.now + HOP_SECONDS, self._end, daemon, opened[0], result, False
+            self.now + HOP_SECONDS,
+            self._end_attempt,
+            daemon,
+            open_attempt[0],
+            result,
+            False,
         )
 
-    def _reach(self, daemon: str, send: action.Send) -> None:
+    def _reach_worker(self, daemon: str, send: action.Send) -> None:
         worker = self.workers[send.vm]
         back = self.now + HOP_SECONDS
         if worker.mode == "down":
             result = verdict.not_run(verdict.Reason.NOT_CONNECTED)
-            self.call_at(back, self._end, daemon, send, result, False)
+            self.call_at(back, self._end_attempt, daemon, send, result, False)
             return
         if worker.mode == "refuse" or worker.running >= worker.slots:
             self.counts["refusals"] += 1
@@ -300,18 +307,18 @@
                 other.running < other.slots for other in self.workers.values()
             )
             result = verdict.not_run(verdict.Reason.WORKER_REFUSED)
-            self.call_at(back, self._end, daemon, send, result, False)
+            self.call_at(back, self._end_attempt, daemon, send, result, False)
             return
         self.runs[send.request] += 1
         self._started_at[send.request] = self.now
         worker.start_times.append(self.now)
         if worker.mode == "fail":
-            self.call_at(back, self._end, daemon, send, verdict.ran(), True)
+            self.call_at(back, self._end_attempt, daemon, send, verdict.ran(), True)
             return
         worker.running += 1
         self._running[daemon, send.attempt] = worker
         if worker.mode == "ok":
-            seconds = self._work[send.request] * worker.slowdown
+            seconds = self._work_seconds[send.request] * worker.slowdown
             worker.busy_seconds += seconds
             self.call_at(self.now + seconds, self._complete, worker, daemon, send)
 
@@ -320,7 +327,12 @@
             return
         worker.running -= 1
         self.call_at(
-            self.now + HOP_SECONDS, self._end, daemon, send, verdict.ran(), False
+            self.now + HOP_SECONDS,
+            self._end_attempt,
+            daemon,
+            send,
+            verdict.ran(),
+            False,
         )
 
 
--- a/benchmarks/tests/test_day.py
+++ b/benchmarks/tests/test_day.py
@@ -3,24 +3,24 @@
 from benchmarks import day
 
 
-def tell(seconds, what, **fields):
-    return {"time": f"2026-01-31 10:00:{seconds:06.3f}", "change": what, **fields}
+def build_line(seconds, change, **fields):
+    return {"time": f"2026-01-31 10:00:{seconds:06.3f}", "change": change, **fields}
 
 
 def test_a_day_counts_jobs_by_their_acceptance_and_vms_by_pool(tmp_path):
     lines = [
-        tell(12.0, "VM gone", pool="p", vm="b"),
-        tell(10.5, "VM joined", pool="p", vm="a"),
-        tell(11.0, "VM joined", pool="p", vm="b"),
-        tell(11.0, "VM joined", pool="q", vm="c"),
-        tell(14.0, "job complete", took=4.0, objective=2.0),
-        tell(14.1, "job complete", took=1.0, objective=2.0),
+        build_line(12.0, "VM gone", pool="p", vm="b"),
+        build_line(10.5, "VM joined", pool="p", vm="a"),
+        build_line(11.0, "VM joined", pool="p", vm="b"),
+        build_line(11.0, "VM joined", pool="q", vm="c"),
+        build_line(14.0, "job complete", took=4.0, objective=2.0),
+        build_line(14.1, "job complete", took=1.0, objective=2.0),
     ]
 
-    made = day.collect(lines)
-    day.draw({"one": made, "other": made}, tmp_path / "day.png")
+    collected = day.collect(lines)
+    day.draw({"one": collected, "other": collected}, tmp_path / "day.png")
 
-    assert made.vms == {"p": [(0.5, 1), (1.0, 2), (2.0, 1)], "q": [(1.0, 1)]}
-    assert made.jobs == {0.0: 1, 3.0: 1}
-    assert made.late == {0.0: 1, 3.0: 0}
+    assert collected.vms == {"p": [(0.5, 1), (1.0, 2), (2.0, 1)], "q": [(1.0, 1)]}
+    assert collected.jobs == {0.0: 1, 3.0: 1}
+    assert collected.late == {0.0: 1, 3.0: 0}
     assert (tmp_path / "day.png").stat().st_size > 0
--- a/benchmarks/tests/test_losses.py
+++ b/benchmarks/tests/test_losses.py
@@ -7,17 +7,17 @@
 from benchmarks import losses
 
 
-def tell(seconds, what, **fields):
+def format_line(seconds, change, **fields):
     time = f"2026-01-31 10:00:{seconds:06.3f}".replace(".", ",")
     fields = {"daemon": "d", "pool": "p", **fields}
-    return " 1.0 d " + json.dumps({"time": time, "change": what, **fields})
+    return " 1.0 d " + json.dumps({"time": time, "change": change, **fields})
 
 
-def end_late(at=20.0, took=4.0):
-    return tell(at, "job complete", job="j", took=took, objective=2.5)
+def format_late_completion(ended_at=20.0, took=4.0):
+    return format_line(ended_at, "job complete", job="j", took=took, objective=2.5)
 
 
-CLAIM = tell(1.0, "leadership claimed")
+CLAIM = format_line(1.0, "leadership claimed")
 
 
 @pytest.mark.parametrize(
@@ -25,32 +25,38 @@
     [
         (
             [
-                tell(17, "renewal of the lease lost", pool=""),
-                tell(19, "renewal of the lease back", pool=""),
+                format_line(17, "renewal of the lease lost", pool=""),
+                format_line(19, "renewal of the lease back", pool=""),
             ],
-            losses.STORE_AWAY,
+            losses.STORE_UNREACHABLE,
         ),
-        ([tell(17, "leadership lapsed"), tell(18, "pool loaded")], losses.NO_LEADER),
-        ([tell(17, "start", pool=""), tell(18, "pool loaded")], losses.NO_LEADER),
-        ([tell(18, "leases lapsed")], losses.VM_LOST),
+        (
+            [format_line(17, "leadership lapsed"), format_line(18, "pool loaded")],
+            losses.NO_LEADER,
+        ),
+        (
+            [format_line(17, "start", pool=""), format_line(18, "pool loaded")],
+            losses.NO_LEADER,
+        ),
+        ([format_line(18, "leases lapsed")], losses.VM_LOST),
         (
             [
-                tell(16.5, "move ordered"),
-                tell(18, "VM joined"),
-                tell(18, "job started", job="j", waited=2.0),
+                format_line(16.5, "move ordered"),
+                format_line(18, "VM joined"),
+                format_line(18, "job started", job="j", waited=2.0),
             ],
-            losses.VMS_COMING,
+            losses.VMS_ARRIVING,
         ),
-        ([tell(18, "job started", job="j", waited=2.0)], losses.NO_VM_SENT),
-        ([tell(16, "job started", job="j", waited=0.02)], losses.LATER),
+        ([format_line(18, "job started", job="j", waited=2.0)], losses.NO_VM_SENT),
+        ([format_line(16, "job started", job="j", waited=0.02)], losses.LATER_STEPS),
         (
-            [tell(17, "leadership given up"), tell(17.05, "pool loaded")],
-            losses.LATER,
+            [format_line(17, "leadership given up"), format_line(17.05, "pool loaded")],
+            losses.LATER_STEPS,
         ),
     ],
 )
 def test_a_late_job_has_the_reason_that_held_meanwhile(lines, reason):
-    text = "\n".join([CLAIM, *lines, end_late()])
+    text = "\n".join([CLAIM, *lines, format_late_completion()])
 
     (loss,) = losses.explain(losses.read_lines(text))
 
@@ -58,18 +64,20 @@
 
 
 def test_jobs_in_time_and_other_text_are_left_out():
-    text = "\n".join(["a table {of figures}", CLAIM, end_late(took=2.0), "{"])
+    text = "\n".join(
+        ["a table {of figures}", CLAIM, format_late_completion(took=2.0), "{"]
+    )
 
     assert losses.explain(losses.read_lines(text)) == []
 
 
 def test_what_held_before_the_job_or_for_another_pool_is_no_reason():
     lines = [
-        tell(2.0, "leases lapsed"),
-        tell(18.0, "leases lapsed", pool="other"),
+        format_line(2.0, "leases lapsed"),
+        format_line(18.0, "leases lapsed", pool="other"),
     ]
-    text = "\n".join([CLAIM, *lines, end_late()])
+    text = "\n".join([CLAIM, *lines, format_late_completion()])
 
     (loss,) = losses.explain(losses.read_lines(text))
 
-    assert loss.reason == losses.LATER
+    assert loss.reason == losses.LATER_STEPS
--- a/examples/library/reporter.py
+++ b/examples/library/reporter.py
@@ -28,9 +28,9 @@
 # Seconds. Real programs keep the defaults of `duty.Limits`; these are short so
 # that the example ends soon.
 LIMITS = duty.Limits(lease=0.6, margin=0.1, rank_delay=0.02, min_renewal_interval=0.02)
-CLAIM_TIMEOUT = 2.0
-TICK = 0.01
-PATIENCE = 10.0
+CLAIM_TIMEOUT_SECONDS = 2.0
+TICK_SECONDS = 0.01
+DUTY_TIMEOUT_SECONDS = 10.0
 
 NAMES = ("gas-17", "moisture-17", "gas-18")
 
@@ -83,13 +83,13 @@
         if self._leases.current(DUTY) is None:
             return None
         results = {name: await self._dispatch_one(name) for name in names}
-        await self._claims.flush(CLAIM_TIMEOUT)
+        await self._claims.flush(CLAIM_TIMEOUT_SECONDS)
         return results
 
     async def _dispatch_one(self, name: str) -> Sent:
         fingerprint = record.compute_fingerprint("SEND", name, b"")
         acquired = await self._claims.acquire(
-            DUTY, name, fingerprint, timeout=CLAIM_TIMEOUT
+            DUTY, name, fingerprint, timeout=CLAIM_TIMEOUT_SECONDS
         )
         if acquired.kind is decision.Kind.REPLAYED:
             return Sent.BEFORE
@@ -113,14 +113,18 @@
         await self._claims.complete(acquired.claim, record.KeptAnswer(200, (), receipt))
         return Sent.NOW
 
-    async def note_progress(self, held: lease.Lease, count: int) -> table.CommitResult:
+    async def write_progress(
+        self, held_lease: lease.Lease, count: int
+    ) -> table.CommitResult:
         """Write progress under the fence of a lease.
 
         A holder that was replaced fails at ``held.condition``, however long it
         was paused and whatever it believes.
         """
         return await self._rows.commit(
-            [held.condition], [table.Write(PROGRESS, {"count": count})], purpose=DUTY
+            [held_lease.condition],
+            [table.Write(PROGRESS, {"count": count})],
+            purpose=DUTY,
         )
 
 
@@ -137,7 +141,7 @@
         return b"received"
 
 
-class Outcome(NamedTuple):
+class Demonstration(NamedTuple):
     """What the demonstration saw."""
 
     first: dict[str, Sent] | None
@@ -146,23 +150,23 @@
     sent: tuple[str, ...]
 
 
-async def demonstrate() -> Outcome:
+async def demonstrate() -> Demonstration:
     """Let one copy dispatch, be cut off and be replaced by another."""
     platform = fake.Fake(suspends=True)
     outlet = Printer()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_run_clock, platform)
-        one, one_leases = await _start(tasks, platform, "copy-1", outlet)
-        held = await _wait_for_duty(one_leases)
-        first = await one.dispatch(NAMES[:2])
+        first_copy, first_leases = await _start(tasks, platform, "copy-1", outlet)
+        held_lease = await _wait_for_duty(first_leases)
+        first = await first_copy.dispatch(NAMES[:2])
         platform.switch(cut=["copy-1"])
-        two, two_leases = await _start(tasks, platform, "copy-2", outlet)
-        await _wait_for_duty(two_leases)
-        second = await two.dispatch(NAMES)
+        second_copy, second_leases = await _start(tasks, platform, "copy-2", outlet)
+        await _wait_for_duty(second_leases)
+        second = await second_copy.dispatch(NAMES)
         platform.switch(cut=[])
-        late_write = await one.note_progress(held, 99)
+        late_write = await first_copy.write_progress(held_lease, 99)
         tasks.cancel_scope.cancel()
-    return Outcome(first, second, late_write, tuple(outlet.sent))
+    return Demonstration(first, second, late_write, tuple(outlet.sent))
 
 
 async def _start(
@@ -183,25 +187,28 @@
 
 async def _run_clock(platform: fake.Fake) -> None:
     while True:
-        await anyio.sleep(TICK)
-        platform.advance(TICK)
+        await anyio.sleep(TICK_SECONDS)
+        platform.advance(TICK_SECONDS)
 
 
 async def _wait_for_duty(leases: lease.Leases) -> lease.Lease:
-    with anyio.fail_after(PATIENCE):
-        while (held := leases.current(DUTY)) is None:
-            await anyio.sleep(TICK)
-    return held
+    with anyio.fail_after(DUTY_TIMEOUT_SECONDS):
+        while (held_lease := leases.current(DUTY)) is None:
+            await anyio.sleep(TICK_SECONDS)
+    return held_lease
 
 
-def main() -> Outcome:
+def main() -> Demonstration:
     """Run the demonstration and print what it shows."""
-    seen = anyio.run(demonstrate)
-    for title, results in (("copy-1", seen.first), ("copy-2", seen.second)):
+    demonstration = anyio.run(demonstrate)
+    for title, results in (
+        ("copy-1", demonstration.first),
+        ("copy-2", demonstration.second),
+    ):
         for name, result in (results or {}).items():
             print(f"{title}: {name} {result.value}")
-    print(f"late write of copy-1: {seen.late_write.outcome.value}")
-    return seen
+    print(f"late write of copy-1: {demonstration.late_write.outcome.value}")
+    return demonstration
 
 
 if __name__ == "__main__":
