--- a/wigeonhitch/leadership/core.py
+++ b/wigeonhitch/leadership/core.py
@@ -297,7 +297,7 @@
     # -- candidates
 
     def consider_joining(self, pools: int, now: float) -> bool:
-        """Become a candidate if there have been too few of them for the backoff.
+        """Become a candidate if too few have been live for longer than the backoff.
 
         Parameters
         ----------
--- a/wigeonhitch/pool/demand.py
+++ b/wigeonhitch/pool/demand.py
@@ -27,8 +27,9 @@
 
 WINDOWS = (Window(1.0, 3), Window(0.4, 5))
 """Windows for the arrival rate. The short one detects bursts of many small jobs (20 a
-second), the long one bursts of few large jobs (3 a second). Between bursts, at a
-twentieth of the rate, fewer jobs than these coincide by chance every few seconds."""
+second), the long one bursts of few large jobs (3 a second). Fewer jobs are ignored:
+between bursts, at a twentieth of the rate, they coincide by chance every few
+seconds."""
 
 
 RISE_WINDOW = Window(0.5, 5)
