--- a/wigeonhitch/configuration/watcher.py
+++ b/wigeonhitch/configuration/watcher.py
@@ -55,7 +55,7 @@
     peers : Peers
         Sends messages to other daemons.
     clock : callable
-        Returns seconds by a clock that includes time in suspension.
+        Returns seconds on the clock that includes time in suspension.
     install : callable
         Called with version and document whenever a version comes into force.
     on_fleet_change : callable
--- a/wigeonhitch/idempotency/batch.py
+++ b/wigeonhitch/idempotency/batch.py
@@ -77,9 +77,9 @@
 
     def withdraw(self, ticket: int) -> bool:
         """Remove a waiting claim; return false if it is not waiting."""
-        kept = [w for w in self._waiting if w.ticket != ticket or not w.is_claim]
-        removed = len(kept) < len(self._waiting)
-        self._waiting = kept
+        remaining = [w for w in self._waiting if w.ticket != ticket or not w.is_claim]
+        removed = len(remaining) < len(self._waiting)
+        self._waiting = remaining
         return removed
 
     def withdraw_claims(self) -> list[Write]:
@@ -94,7 +94,7 @@
         Parameters
         ----------
         now : float
-            Seconds on the clock that counts suspension.
+            Seconds on the clock that includes time in suspension.
         table_time : float
             Estimated time of the table's clock, for records without a time.
         """
--- a/wigeonhitch/idempotency/core.py
+++ b/wigeonhitch/idempotency/core.py
@@ -2,7 +2,7 @@
 
 Events are passed to methods, `Core.step` returns the actions that are due, and
 `Core.next_wake` the time of the next one. Times are seconds on the clock that
-counts suspension.
+includes time in suspension.
 
 A keyed request runs at most once even if the store loses answers, daemons die or
 pause at any point, and a caller repeats its key at any daemon. This holds because a
@@ -31,8 +31,8 @@
 """Seconds that a kept answer waits to share a table write with claims. A longer delay
 would extend the time in which a crash of the daemon loses the answer."""
 SETTLE_TIMEOUT_SECONDS = 120.0
-"""Seconds in which the final state of an attempt is retried. Afterwards the entry is
-dropped to free its memory, and the key stays claimed, which is safe."""
+"""Seconds in which the write of an attempt's final state is retried. Afterwards the
+entry is dropped to free its memory, and the key stays claimed, which is safe."""
 MAX_ENTRIES = 2000
 """Maximum number of open requests: forty times what 50 slots can serve, and at most
 some tens of megabytes with the largest bodies kept in rows."""
@@ -89,7 +89,7 @@
         fingerprint : str
             Hash of the request.
         now, deadline : float
-            Seconds on the clock that counts suspension.
+            Seconds on the clock that includes time in suspension.
         """
         ticket = next(self._tickets)
         attempt = f"{self._daemon}/{ticket}"
@@ -283,8 +283,8 @@
             self._decide_by_row(item, row, now, write.record)
             return
         del self._entries[item.ticket]
-        kept = record.decode(row.value) if row.value is not None else None
-        if kept is None or kept[:3] != write.record[:3]:
+        row_record = record.decode(row.value) if row.value is not None else None
+        if row_record is None or row_record[:3] != write.record[:3]:
             self.counts["overtaken"] += 1
 
     def _on_write_failed(
--- a/wigeonhitch/idempotency/decision.py
+++ b/wigeonhitch/idempotency/decision.py
@@ -36,7 +36,7 @@
 
     ``caller_verdict`` is set unless the request is granted, and ``kept_record``
     holds the kept answer of a replay. A granted request may be sent until
-    ``send_before``, in seconds on the clock that counts suspension.
+    ``send_before``, in seconds on the clock that includes time in suspension.
     """
 
     ticket: int
--- a/wigeonhitch/idempotency/store.py
+++ b/wigeonhitch/idempotency/store.py
@@ -23,10 +23,10 @@
 __all__ = ["Acquired", "Claim", "Claims"]
 
 COMMIT_TIMEOUT_SECONDS = 1.0
-"""Time-out in seconds of a table write of claims; after it the caller gets
+"""Timeout in seconds of a table write of claims; after it the caller gets
 "not run"."""
 READ_TIMEOUT_SECONDS = 1.0
-"""Time-out in seconds of a read of records."""
+"""Timeout in seconds of a read of records."""
 MAX_INLINE_BODY_BYTES = 8 * 1024
 """Maximum bytes of a body kept in the row. Larger bodies go to the object store, so
 that a batch of 64 rows stays near half a megabyte."""
@@ -44,7 +44,7 @@
 class Claim(NamedTuple):
     """Permission to send one request until it is settled or ``send_before``.
 
-    ``send_before`` is in seconds on the clock that counts suspension.
+    ``send_before`` is in seconds on the clock that includes time in suspension.
     """
 
     ticket: int
@@ -83,7 +83,7 @@
     rng : random.Random
         Random source of retry delays.
     clock : callable
-        Returns seconds, including time for which the machine was suspended.
+        Returns seconds on the clock that includes time in suspension.
     limits : batch.Limits
         Limits of table writes.
 
--- a/wigeonhitch/membership/holder.py
+++ b/wigeonhitch/membership/holder.py
@@ -13,7 +13,7 @@
 __all__ = ["Holder"]
 
 CALL_TIMEOUT_SECONDS = 2.0
-"""Time-out in seconds of a commit or a read; two fit between renewals."""
+"""Timeout in seconds of a commit or a read; two fit between renewals."""
 
 
 class Holder:
@@ -29,7 +29,7 @@
         Returns additional fields of the daemon's row (address, ``drain``, ``busy``
         and so on); called right before each renewal is sent.
     clock : callable
-        Returns seconds, including time for which the machine was suspended.
+        Returns seconds on the clock that includes time in suspension.
     limits : duty.Limits
         Times of leases, renewals and reads.
     """
@@ -64,7 +64,7 @@
     def full_read_at(self) -> float:
         """When the last read of all rows was started.
 
-        The time is on the clock that counts suspension.
+        The time is on the clock that includes time in suspension.
         """
         return self._duties.full_read_at
 
--- a/wigeonhitch/membership/lease.py
+++ b/wigeonhitch/membership/lease.py
@@ -23,7 +23,7 @@
     fence : int
         Fencing token: the version of the duty row at takeover.
     expires : float
-        Seconds on the clock that counts suspension (``CLOCK_BOOTTIME``).
+        Seconds on the clock that includes time in suspension (``CLOCK_BOOTTIME``).
     """
 
     duty: str
--- a/wigeonhitch/membership/task.py
+++ b/wigeonhitch/membership/task.py
@@ -24,7 +24,7 @@
     rows : holder.Holder
         Reads the daemon rows.
     clock : callable
-        Returns seconds on the clock that counts suspension.
+        Returns seconds on the clock that includes time in suspension.
     find_drains : callable
         Returns the `core.Drains` to announce.
     on_members, on_send_right, on_heartbeat : callable
--- a/wigeonhitch/operators/route.py
+++ b/wigeonhitch/operators/route.py
@@ -1,4 +1,4 @@
-"""Records of the operators' HTTP routes, which each slice defines.
+"""Records of the operators' HTTP routes, which each package defines.
 
 All paths are below ``/operator/v1``. The daemon authenticates a request before
 it calls the handler, which receives the operator's name and roles.
--- a/wigeonhitch/operators/service.py
+++ b/wigeonhitch/operators/service.py
@@ -43,7 +43,7 @@
     Parameters
     ----------
     routes : sequence of route.Route
-        Routes of all slices.
+        Routes of all packages.
     credentials : credential.Credentials
         Credentials of the operators.
     clock : callable
--- a/wigeonhitch/platform/client.py
+++ b/wigeonhitch/platform/client.py
@@ -27,7 +27,7 @@
 
 
 def read_clock() -> float:
-    """Return the monotonic clock that includes suspension, in seconds."""
+    """Return the seconds of a clock that includes time in suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -41,7 +41,7 @@
     rng : random.Random
         Generator of jitter and commit tokens.
     clock : callable
-        Returns a monotonic time in seconds that includes suspension.
+        Returns seconds on the clock that includes time in suspension.
     sleep : callable
         Sleeps for the given seconds.
 
--- a/wigeonhitch/platform/rows.py
+++ b/wigeonhitch/platform/rows.py
@@ -144,7 +144,7 @@
         limit: int = 0,
         timeout: float,
     ) -> Range:
-        """Read keys from ``first`` up to, without, ``last``; all pages."""
+        """Read all pages of the keys from ``first`` to ``last``, which is excluded."""
         ...
 
     async def follow(
@@ -198,7 +198,7 @@
         limit: int = 0,
         timeout: float,
     ) -> Range:
-        """Read keys from ``first`` up to, without, ``last``; all pages."""
+        """Read all pages of the keys from ``first`` to ``last``, which is excluded."""
         listed: list[Row] = []
         version = 0
         while True:
--- a/wigeonhitch/platform/workers.py
+++ b/wigeonhitch/platform/workers.py
@@ -81,7 +81,7 @@
 
 
 class OrderReply(NamedTuple):
-    """Answer to a start, stop or pace; ``clock`` is the worker's, in seconds."""
+    """Answer to an order about a run; ``clock`` is the worker's, in seconds."""
 
     verdict: Verdict
     clock: float = 0.0
--- a/wigeonhitch/settings/schema.py
+++ b/wigeonhitch/settings/schema.py
@@ -47,7 +47,7 @@
 
 
 class Daemon(NamedTuple):
-    """Identity of this daemon and its shutdown time-out.
+    """Identity of this daemon and its shutdown timeout.
 
     Parameters
     ----------
