--- a/wigeonhitch/command/documents.py
+++ b/wigeonhitch/command/documents.py
@@ -82,10 +82,10 @@
     needs = approval.find_needs(before, checked.intended)
     lines = [difference.format_change(change) for change in changes]
     needed = [f"{n.approvals} of {' or '.join(n.roles)} for {n.change}" for n in needs]
-    lines_shown = [f"against version {version}:", *(lines or ["no change"])]
-    lines_shown += [f"needs approval: {need}" for need in needed]
+    output = [f"against version {version}:", *(lines or ["no change"])]
+    output += [f"needs approval: {need}" for need in needed]
     body = {"base": version, "changes": lines, "needs": needed}
-    return report.Report(report.Exit.DONE, body, tuple(lines_shown))
+    return report.Report(report.Exit.DONE, body, tuple(output))
 
 
 async def submit(
@@ -145,10 +145,10 @@
         lines = [f"{reply.body['reason']}: version {reply.body['version']}"]
     elif status in ("WAITING", "REJECTED"):
         lines = [reply.body["reason"], f"submission {submission}"]
-        known = reply.body.get("proposal") or {}
-        lines.append(f"hash {known.get('hash', '')}")
+        proposal = reply.body.get("proposal") or {}
+        lines.append(f"hash {proposal.get('hash', '')}")
         if status == "WAITING":
-            lines += [f"needs approval: {need}" for need in known.get("missing", ())]
+            lines += [f"needs approval: {need}" for need in proposal.get("missing", ())]
     return report.Report(code, reply.body, tuple(lines))
 
 
@@ -167,10 +167,10 @@
     """
     content = hash
     if not content:
-        shown = await asking.get(f"/proposals/{proposal}")
-        if report.get_exit_code(shown) is not report.Exit.DONE:
-            return report.report_reply(shown)
-        content = shown.body["hash"]
+        current = await asking.get(f"/proposals/{proposal}")
+        if report.get_exit_code(current) is not report.Exit.DONE:
+            return report.report_reply(current)
+        content = current.body["hash"]
     path = f"/proposals/{proposal}/approve"
     reply = await asking.post(path, {"hash": content}, repeatable=True)
     again = "the same command; an operator counts once"
@@ -261,15 +261,15 @@
     headers = ("SUBMISSION", "STATE", "BASE", "HASH", "AUTHOR", "SUBMITTED", "MISSING")
     rows = [
         (
-            one["submission"],
-            one["state"],
-            one["base"],
-            one["hash"][:12],
-            one["author"],
-            text.format_time(one["submitted"]),
-            "; ".join(one["missing"]) if one["state"] == "waiting" else "-",
+            proposal["submission"],
+            proposal["state"],
+            proposal["base"],
+            proposal["hash"][:12],
+            proposal["author"],
+            text.format_time(proposal["submitted"]),
+            "; ".join(proposal["missing"]) if proposal["state"] == "waiting" else "-",
         )
-        for one in reply.body["proposals"]
+        for proposal in reply.body["proposals"]
     ]
     return report.report_reply(reply, report.format_table(headers, rows))
 
--- a/wigeonhitch/command/local.py
+++ b/wigeonhitch/command/local.py
@@ -35,7 +35,7 @@
         problems = list(node.check(text).problems)
     else:
         loaded = load.check_settings(text)
-        problems = [problem.format_problem(one) for one in loaded.problems]
+        problems = [problem.format_problem(invalid) for invalid in loaded.problems]
     if problems:
         body = {"status": "INVALID", "problems": problems}
         return report.Report(report.Exit.REFUSED, body, tuple(problems))
--- a/wigeonhitch/command/tests/conftest.py
+++ b/wigeonhitch/command/tests/conftest.py
@@ -23,7 +23,8 @@
         "vic": ("viewer",),
     }
     return tuple(
-        credential.make_operator(name, given, SECRET) for name, given in roles.items()
+        credential.make_operator(name, role_names, SECRET)
+        for name, role_names in roles.items()
     )
 
 
@@ -34,25 +35,25 @@
 
 @pytest.fixture
 def answers():
-    """Answers of a wave, in turn; the last one stays."""
+    """Successive responses for a wave; the last one repeats."""
     return [{"wave": "monthly", "status": "running", "done": 0}]
 
 
 @pytest.fixture
 def requests():
-    """What the daemons were asked: host, method, path."""
+    """Requests sent to the daemons: host, method, path."""
     return []
 
 
 @pytest.fixture
 def faults():
-    """By host: an exception to raise before or after the daemon acts."""
+    """By host: an exception raised before or after the daemon handles a request."""
     return {}
 
 
 @pytest.fixture
 def run(platform, operators, answers, requests, faults, monkeypatch, capsys):
-    """Run one command; return its exit code and what it printed."""
+    """Return a function that runs a command and returns its exit code and output."""
     documents = store.Store(platform.table, platform.objects)
 
     async def show_wave(request):
@@ -63,21 +64,21 @@
             return route.Answer(400, {"error": "id: Field required"})
         return route.Answer(202, request.body)
 
-    offered = (
+    all_routes = (
         route.Route("POST", "/jobs", True, submit_job),
         *routes.make_routes(documents),
         route.Route("GET", "/waves/{wave}", False, show_wave),
         route.Route("POST", "/waves/{wave}/start", True, show_wave),
     )
-    app = service.make_app(offered, credential.Credentials(operators))
-    inner = httpx.ASGITransport(app)
+    app = service.make_app(all_routes, credential.Credentials(operators))
+    asgi_transport = httpx.ASGITransport(app)
 
-    async def carry(request):
+    async def forward_request(request):
         requests.append((request.url.host, request.method, request.url.path))
         before, after = faults.get(request.url.host, (None, None))
         if before is not None:
             raise before
-        answer = await inner.handle_async_request(request)
+        answer = await asgi_transport.handle_async_request(request)
         body = await answer.aread()
         if after is not None:
             raise after
@@ -86,7 +87,7 @@
     @contextlib.asynccontextmanager
     async def open_client(connection):
         headers = {"Authorization": f"Bearer {connection.operator}:{connection.secret}"}
-        transport = httpx.MockTransport(carry)
+        transport = httpx.MockTransport(forward_request)
         async with httpx.AsyncClient(transport=transport, headers=headers) as http:
             yield client.Client(connection.daemons, http)
 
--- a/wigeonhitch/command/tests/test_command.py
+++ b/wigeonhitch/command/tests/test_command.py
@@ -71,7 +71,7 @@
     assert requests == []
 
 
-def test_unknown_outcome_says_how_to_ask_again(run, faults):
+def test_unknown_outcome_says_how_to_retry(run, faults):
     faults["a"] = (None, httpx.ReadTimeout("lost"))
     code, shown = run("document", "submit", ALTIPLANO, "--submission", "s1")
     assert code == Exit.UNKNOWN
@@ -85,36 +85,36 @@
 
 
 def test_other_daemon_is_tried_only_when_that_is_safe(run, faults, requests):
-    two = ("--daemon", "http://a:1,http://b:1")
+    two_daemons = ("--daemon", "http://a:1,http://b:1")
     faults["a"] = (httpx.ConnectError("refused"), None)
-    code, _ = run("wave", "start", "monthly", *two)
+    code, _ = run("wave", "start", "monthly", *two_daemons)
     assert (code, [host for host, _, _ in requests]) == (Exit.DONE, ["a", "b"])
     requests.clear()
     faults["a"] = (None, httpx.ReadError("lost"))
-    code, shown = run("wave", "start", "monthly", *two)
+    code, shown = run("wave", "start", "monthly", *two_daemons)
     assert (code, [host for host, _, _ in requests]) == (Exit.UNKNOWN, ["a"])
     assert "wave show monthly" in shown
     requests.clear()
-    code, _ = run("document", "submit", ALTIPLANO, *two)
+    code, _ = run("document", "submit", ALTIPLANO, *two_daemons)
     assert (code, [host for host, _, _ in requests]) == (Exit.WAITING, ["a", "b"])
 
 
-def test_lost_answer_stays_unknown_when_the_next_daemon_is_down(run, faults):
-    two = ("--daemon", "http://a:1,http://b:1")
+def test_lost_response_stays_unknown_when_the_next_daemon_is_down(run, faults):
+    two_daemons = ("--daemon", "http://a:1,http://b:1")
     faults["a"] = (None, httpx.ReadError("lost"))
     faults["b"] = (httpx.ConnectError("refused"), None)
-    code, _ = run("document", "submit", ALTIPLANO, *two)
+    code, _ = run("document", "submit", ALTIPLANO, *two_daemons)
     assert code == Exit.UNKNOWN
 
 
-def test_no_further_daemon_is_asked_once_the_time_for_asking_is_over(
+def test_no_further_daemon_is_tried_after_the_failover_limit(
     run, faults, requests, monkeypatch
 ):
-    three = ("--daemon", "http://a:1,http://b:1,http://c:1")
+    three_daemons = ("--daemon", "http://a:1,http://b:1,http://c:1")
     faults["a"] = (httpx.ConnectError("refused"), None)
     faults["b"] = (None, httpx.ReadTimeout("lost"))
     monkeypatch.setattr(client, "FAILOVER_LIMIT_SECONDS", -1.0)
-    code, _ = run("document", "submit", ALTIPLANO, *three)
+    code, _ = run("document", "submit", ALTIPLANO, *three_daemons)
     assert (code, [host for host, _, _ in requests]) == (Exit.UNKNOWN, ["a", "b"])
 
 
@@ -125,15 +125,15 @@
     assert run("document", "show")[0] == Exit.UNREACHABLE
 
 
-def test_lost_answer_to_a_read_has_changed_nothing(run, faults):
+def test_lost_response_to_a_read_reports_no_change(run, faults):
     faults["a"] = (None, httpx.ReadError("lost"))
     code, shown = run("document", "show")
     assert (code, "nothing was changed" in shown) == (Exit.UNREACHABLE, True)
 
 
-def test_certificate_that_is_not_trusted_is_named(run, faults):
-    refused = httpx.ConnectError("[SSL: CERTIFICATE_VERIFY_FAILED] self-signed")
-    faults["a"] = (refused, None)
+def test_untrusted_certificate_is_reported(run, faults):
+    error = httpx.ConnectError("[SSL: CERTIFICATE_VERIFY_FAILED] self-signed")
+    faults["a"] = (error, None)
     code, shown = run("wave", "start", "monthly")
     assert (code, "--cafile" in shown) == (Exit.UNREACHABLE, True)
 
@@ -142,19 +142,19 @@
     assert run("document", "show", "--cafile", "no-such.pem")[0] == Exit.USAGE
     assert run("document", "submit")[0] == Exit.USAGE
     assert run("document", "show", "--daemon", "a:1")[0] == Exit.USAGE
-    with pytest.raises(SystemExit) as stopped:
+    with pytest.raises(SystemExit) as exit_info:
         main.main(["document", "no-such"])
-    assert stopped.value.code == Exit.USAGE
+    assert exit_info.value.code == Exit.USAGE
 
 
 def test_group_alone_lists_its_commands(capsys):
-    with pytest.raises(SystemExit) as stopped:
+    with pytest.raises(SystemExit) as exit_info:
         main.main(["wave"])
-    assert stopped.value.code == 0
+    assert exit_info.value.code == 0
     assert "Resume a paused wave." in capsys.readouterr().out
 
 
-def test_watch_ends_with_the_wave(run, answers, capsys):
+def test_watch_returns_when_the_wave_is_done(run, answers, capsys):
     answers[:] = [
         {"wave": "monthly", "status": "running", "done": 3},
         {"wave": "monthly", "status": "done", "done": 30},
@@ -164,7 +164,7 @@
     assert "done: 30" in shown
 
 
-def test_job_is_submitted_again_elsewhere_when_an_answer_is_lost(
+def test_job_is_resubmitted_to_another_daemon_after_a_lost_response(
     run, faults, requests, tmp_path
 ):
     file = tmp_path / "job.yaml"
--- a/wigeonhitch/command/tests/test_story.py
+++ b/wigeonhitch/command/tests/test_story.py
@@ -1,4 +1,4 @@
-"""Finding a request's cause from captured log lines, by its id alone."""
+"""``explain`` finds the cause of a job's outcome in log lines, by the job's id."""
 
 import json
 
@@ -30,7 +30,7 @@
     return str(path)
 
 
-def test_a_story_is_in_order_over_daemons_with_what_its_pool_met(file, capsys):
+def test_history_is_sorted_across_daemons_and_includes_pool_events(file, capsys):
     code = main.main(["explain", "j1", "--files", file])
 
     shown = capsys.readouterr().out.splitlines()
@@ -44,11 +44,11 @@
     assert "vm=w1" in shown[1]
 
 
-def test_a_refused_request_tells_its_verdict(file, capsys):
+def test_history_of_a_refused_request_shows_its_verdict(file, capsys):
     main.main(["explain", "j2", "--json", "--files", file])
 
-    (only,) = json.loads(capsys.readouterr().out)
-    assert only["fields"]["verdict"] == "not run"
+    (entry,) = json.loads(capsys.readouterr().out)
+    assert entry["fields"]["verdict"] == "not run"
 
 
 def test_an_unknown_id_is_not_found(file):
@@ -59,11 +59,11 @@
     assert main.main(["explain", "j1", "--files", "/no/such/file"]) == report.Exit.USAGE
 
 
-def test_lines_that_are_no_json_are_left_out():
+def test_lines_without_json_are_ignored():
     assert list(story.read_lines(["{broken", "[]", "plain"])) == []
 
 
-def test_the_platforms_settings_are_checked_too(tmp_path, capsys):
+def test_node_file_of_the_platform_is_checked(tmp_path, capsys):
     path = tmp_path / "node.conf"
     path.write_text("node_name=n\nparameters.grace_s=soon\n")
 
@@ -75,9 +75,9 @@
     assert "'soon'" in shown
 
 
-def test_a_job_s_story_tells_that_its_pool_s_leader_lapsed_meanwhile():
+def test_history_includes_a_lapse_of_the_pool_leadership():
     lines = [*LINES, line("10:00:04", "d1", "leadership lapsed", pool="p", version=8)]
 
-    told = story.find_story(story.read_lines(lines), "j1")
+    history = story.find_story(story.read_lines(lines), "j1")
 
-    assert "leadership lapsed" in [one.change for one in told]
+    assert "leadership lapsed" in [entry.change for entry in history]
--- a/wigeonhitch/daemon/tests/test_command.py
+++ b/wigeonhitch/daemon/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command as a process of its own against daemons and stand-ins."""
+"""The command as a process against daemons and stand-ins."""
 
 import contextlib
 import json
@@ -18,32 +18,32 @@
 
 Exit = report.Exit
 EXAMPLE = pathlib.Path(__file__).parents[3] / "examples" / "altiplano.yaml"
-LIMIT = 60.0  # seconds for one command, a whole wave included
+COMMAND_TIMEOUT_SECONDS = 60.0  # covers watching a whole wave
 
 
-class Ended(NamedTuple):
-    """What one command left."""
+class CommandResult(NamedTuple):
+    """Exit code and output of a command."""
 
     exit: int
     output: str
     errors: str
 
 
-def write_small(folder, name, **changes):
+def write_small_fleet(folder, name, **changes):
     """Write the example with pools of two VMs, and other fields of a team."""
-    small = yaml.safe_load(EXAMPLE.read_text(encoding="utf-8"))
-    for pool in small["pools"]:
+    small_fleet = yaml.safe_load(EXAMPLE.read_text(encoding="utf-8"))
+    for pool in small_fleet["pools"]:
         pool.update(size=2, must_be_up={"number": 1})
-    small["teams"][0].update(changes)
+    small_fleet["teams"][0].update(changes)
     path = folder / name
-    path.write_text(yaml.safe_dump(small), encoding="utf-8")
+    path.write_text(yaml.safe_dump(small_fleet), encoding="utf-8")
     return path
 
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    """File of a small fleet, so that a whole wave takes two rounds."""
-    return write_small(tmp_path_factory.mktemp("fleet"), "fleet.yaml")
+    """Return the file of a small fleet, whose waves take two rounds."""
+    return write_small_fleet(tmp_path_factory.mktemp("fleet"), "fleet.yaml")
 
 
 @pytest.fixture(scope="module")
@@ -52,88 +52,93 @@
     with contextlib.ExitStack() as stack:
         folder = tmp_path_factory.mktemp("command")
         options = site.Options(daemons=2, reboot_seconds=0.2, vm_lag=0.1)
-        made = site.open_site(stack, folder, process.Ports(), fleet, options)
-        made.wait_until_serving()
-        yield made
+        opened_site = site.open_site(stack, folder, process.Ports(), fleet, options)
+        opened_site.wait_until_serving()
+        yield opened_site
 
 
 @pytest.fixture(scope="module")
 def run(running):
-    """Run the command; return its exit code and output."""
-    urls = [f"http://127.0.0.1:{one.operators}" for one in running.daemons.values()]
+    """Return a function that runs the command and returns its exit code and output."""
+    urls = [
+        f"http://127.0.0.1:{daemon.operators}" for daemon in running.daemons.values()
+    ]
 
     def run(*arguments, who="ana", daemon=""):
-        given = {
+        environment = {
             "WIGEONHITCH_DAEMON": daemon or ",".join(urls),
             "WIGEONHITCH_OPERATOR": who,
             "WIGEONHITCH_SECRET": siteclient.SECRET,
         }
-        ended = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "wigeonhitch.command.main", *arguments],
-            env=os.environ | given,
+            env=os.environ | environment,
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=COMMAND_TIMEOUT_SECONDS,
         )
-        assert "Traceback" not in ended.stderr, ended.stderr
-        return Ended(ended.returncode, ended.stdout, ended.stderr)
+        assert "Traceback" not in result.stderr, result.stderr
+        return CommandResult(result.returncode, result.stdout, result.stderr)
 
     return run
 
 
 @pytest.fixture(scope="module")
 def in_force(running, run, fleet):
-    """Put the example in force by the command alone."""
-    ended = run("document", "submit", str(fleet), "--submission", "first")
-    assert ended.exit == Exit.WAITING
-    assert "needs approval: 1 of owner for approvals" in ended.output
+    """Put the example in force through the command only."""
+    result = run("document", "submit", str(fleet), "--submission", "first")
+    assert result.exit == Exit.WAITING
+    assert "needs approval: 1 of owner for approvals" in result.output
     assert run("document", "approve", "first").exit == Exit.REFUSED
     assert run("document", "approve", "first", who="eva").exit == Exit.REFUSED
-    ended = run("document", "approve", "first", who="ben")
-    assert ended == (Exit.DONE, "accepted: version 1\n", "")
+    result = run("document", "approve", "first", who="ben")
+    assert result == (Exit.DONE, "accepted: version 1\n", "")
     for name in running.daemons:
         running.wait_until_ready(name)
 
 
-def test_without_arguments_it_says_how_to_use_it(run):
+def test_without_arguments_it_prints_usage(run):
     assert "usage: wigeonhitch" in run().output
 
 
-def test_two_operators_conflict_and_the_loser_learns_the_version(
+def test_losing_operator_of_a_conflict_gets_the_version_in_force(
     run, in_force, tmp_path
 ):
-    ours = str(write_small(tmp_path, "ours.yaml", cores=80))
-    theirs = str(write_small(tmp_path, "theirs.yaml", cores=72))
-    ended = run("document", "diff", ours)
-    assert (ended.exit, "teams coffee" in ended.output) == (Exit.DONE, True)
+    ours = str(write_small_fleet(tmp_path, "ours.yaml", cores=80))
+    theirs = str(write_small_fleet(tmp_path, "theirs.yaml", cores=72))
+    result = run("document", "diff", ours)
+    assert (result.exit, "teams coffee" in result.output) == (Exit.DONE, True)
     for name, file in (("ours", ours), ("theirs", theirs)):
-        ended = run("document", "submit", file, "--base", "1", "--submission", name)
-        assert ended.exit == Exit.WAITING
+        result = run("document", "submit", file, "--base", "1", "--submission", name)
+        assert result.exit == Exit.WAITING
     assert run("document", "approve", "ours", who="ben").exit == Exit.DONE
-    ended = run("document", "approve", "theirs", who="ben")
-    assert (ended.exit, "version 2" in ended.output) == (Exit.CONFLICT, True)
-    ended = run("document", "history", "--json")
-    assert [one["version"] for one in json.loads(ended.output)["versions"]] == [2, 1]
-    ended = run("document", "show", "--proposal", "theirs")
-    assert (ended.exit, "submitted: 20" in ended.output) == (Exit.DONE, True)
+    result = run("document", "approve", "theirs", who="ben")
+    assert (result.exit, "version 2" in result.output) == (Exit.CONFLICT, True)
+    result = run("document", "history", "--json")
+    assert [entry["version"] for entry in json.loads(result.output)["versions"]] == [
+        2,
+        1,
+    ]
+    result = run("document", "show", "--proposal", "theirs")
+    assert (result.exit, "submitted: 20" in result.output) == (Exit.DONE, True)
 
 
 def test_wave_is_planned_paused_resumed_watched_and_ends(run, in_force):
-    ended = run("wave", "plan", "monthly")
-    assert (ended.exit, "10m" in ended.output) == (Exit.DONE, True)
+    result = run("wave", "plan", "monthly")
+    assert (result.exit, "10m" in result.output) == (Exit.DONE, True)
     assert run("wave", "start", "monthly", who="eva").exit == Exit.REFUSED
     assert run("wave", "start", "no-such").exit == Exit.NOT_FOUND
     assert run("wave", "start", "monthly").exit == Exit.DONE
     assert run("wave", "pause", "monthly").exit == Exit.DONE
-    ended = run("wave", "show", "monthly")
-    assert "status: paused" in ended.output
-    assert "wave monthly is paused" in ended.output
+    result = run("wave", "show", "monthly")
+    assert "status: paused" in result.output
+    assert "wave monthly is paused" in result.output
     assert run("wave", "resume", "monthly").exit == Exit.DONE
-    ended = run("wave", "watch", "monthly", "--period", "0.2")
-    assert (ended.exit, "done: 10 of 10" in ended.output) == (Exit.DONE, True)
-    assert "of 10 done, active worker-" in ended.errors
-    ended = run("wave", "abort", "monthly")
-    assert (ended.exit, "cannot abort" in ended.output) == (Exit.CONFLICT, True)
+    result = run("wave", "watch", "monthly", "--period", "0.2")
+    assert (result.exit, "done: 10 of 10" in result.output) == (Exit.DONE, True)
+    assert "of 10 done, active worker-" in result.errors
+    result = run("wave", "abort", "monthly")
+    assert (result.exit, "cannot abort" in result.output) == (Exit.CONFLICT, True)
 
 
 def test_pools_and_status_are_readable(run, in_force):
@@ -153,8 +158,8 @@
     file = tmp_path / "job.yaml"
     body = {"team": "coffee", "id": "j1", "pool": "batch-pairing"}
     file.write_text(yaml.safe_dump(body), encoding="utf-8")
-    ended = run("job", "submit", str(file))
-    assert (ended.exit, "cores: Field required" in ended.output) == (3, True)
+    result = run("job", "submit", str(file))
+    assert (result.exit, "cores: Field required" in result.output) == (3, True)
     body |= {"cores": 1000, "memory": 1, "duration": 5, "deadline": 600}
     file.write_text(yaml.safe_dump(body), encoding="utf-8")
     for _ in range(2):
@@ -171,9 +176,9 @@
 
 
 def test_unreachable_unknown_operator_and_store_down(running, run, in_force):
-    nobody = f"http://127.0.0.1:{running.ports.allocate()[0]}"
-    ended = run("status", daemon=nobody)
-    assert (ended.exit, "nothing was done" in ended.output) == (6, True)
+    unused_address = f"http://127.0.0.1:{running.ports.allocate()[0]}"
+    result = run("status", daemon=unused_address)
+    assert (result.exit, "nothing was done" in result.output) == (6, True)
     assert run("status", who="mallory").exit == Exit.REFUSED
     running.switch(down=True)
     try:
@@ -192,10 +197,10 @@
         file = str(running.folder / f"{name}.yaml")
         assert run("settings", "check", file).exit == Exit.DONE
     example.write_text("daemon: {name: A, speed: 3}\n", encoding="utf-8")
-    ended = run("settings", "check", str(example))
-    assert ended.exit == Exit.REFUSED
+    result = run("settings", "check", str(example))
+    assert result.exit == Exit.REFUSED
     for place in ("daemon.name", "daemon.speed", "callers", "platform"):
-        assert place in ended.output
+        assert place in result.output
     entry = run("settings", "credential", "ana", "operations").output
     assert yaml.safe_load(entry)[0]["name"] == "ana"
     assert siteclient.SECRET not in entry
--- a/wigeonhitch/daemon/tests/test_documents.py
+++ b/wigeonhitch/daemon/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents of racing operators, in force on daemons that fail."""
+"""Documents of concurrent operators come into force while daemons fail."""
 
 import contextlib
 import copy
@@ -13,7 +13,7 @@
 
 from standins.demo import checks
 
-IN_FORCE_LIMIT = 60.0  # seconds
+IN_FORCE_LIMIT_SECONDS = 60.0
 
 
 @pytest.fixture(scope="module")
@@ -38,7 +38,7 @@
     return None
 
 
-class Watch:
+class StatusSampler:
     """Samples readiness and version of every daemon in a thread."""
 
     def __init__(self, site):
@@ -49,15 +49,15 @@
 
     def __enter__(self):
         for name in list(self.site.daemons):
-            self.follow(name)
+            self.start_thread(name)
         return self
 
     def __exit__(self, *error):
         self.stopped.set()
-        for one in self.threads:
-            one.join()
+        for thread in self.threads:
+            thread.join()
 
-    def follow(self, name):
+    def start_thread(self, name):
         self.threads.append(threading.Thread(target=self.run, args=(name,)))
         self.threads[-1].start()
 
@@ -71,21 +71,22 @@
                     )
                 )
 
-    def wait_for(self, name, version, limit=IN_FORCE_LIMIT):
+    def wait_for(self, name, version, limit=IN_FORCE_LIMIT_SECONDS):
         """Wait until a daemon is ready at a version."""
         deadline = time.monotonic() + limit
         while not any(
-            one.daemon == name and one.is_ready and one.version >= version
-            for one in list(self.samples)
+            sample.daemon == name and sample.is_ready and sample.version >= version
+            for sample in list(self.samples)
         ):
             assert time.monotonic() < deadline, (name, self.samples[-4:])
             time.sleep(0.05)
 
-    def wait_for_unready(self, name, limit=IN_FORCE_LIMIT):
-        """Wait until a daemon says that it isn't ready."""
+    def wait_for_unready(self, name, limit=IN_FORCE_LIMIT_SECONDS):
+        """Wait until a daemon reports that it isn't ready."""
         deadline = time.monotonic() + limit
         while not any(
-            one.daemon == name and not one.is_ready for one in list(self.samples)
+            sample.daemon == name and not sample.is_ready
+            for sample in list(self.samples)
         ):
             assert time.monotonic() < deadline, (name, self.samples[-4:])
             time.sleep(0.05)
@@ -107,7 +108,7 @@
 
 
 @pytest.mark.processes
-def test_racing_operators_get_one_winner_and_a_named_conflict(site):
+def test_concurrent_operators_get_one_winner_and_a_conflict(site):
     base = read_version(site)
     first, second, *_ = site.daemons
     daemons = {"one": first, "two": second}
@@ -116,71 +117,71 @@
             name: pool.submit(propose, site, daemons[name], weight, base, name)
             for name, weight in (("one", 3), ("two", 4))
         }
-        answers = {name: one.result() for name, one in proposals.items()}
+        answers = {name: future.result() for name, future in proposals.items()}
         approvals = {
             name: pool.submit(
-                approve, site, daemons[name], name, one.json()["proposal"]["hash"]
+                approve, site, daemons[name], name, answer.json()["proposal"]["hash"]
             )
-            for name, one in answers.items()
-            if one.status_code == 202
+            for name, answer in answers.items()
+            if answer.status_code == 202
         }
-        answers |= {name: one.result() for name, one in approvals.items()}
-    print({name: (one.status_code, one.text) for name, one in answers.items()})
-    assert sorted(one.status_code for one in answers.values()) == [200, 409]
-    (lost,) = [one for one in answers.values() if one.status_code == 409]
+        answers |= {name: future.result() for name, future in approvals.items()}
+    print({name: (answer.status_code, answer.text) for name, answer in answers.items()})
+    assert sorted(answer.status_code for answer in answers.values()) == [200, 409]
+    (lost,) = [answer for answer in answers.values() if answer.status_code == 409]
     assert str(base + 1) in lost.text
     assert read_version(site) == base + 1
 
 
 @pytest.mark.processes
-def test_version_comes_into_force_everywhere_and_never_goes_back(site):
-    """One daemon is stopped, another cut off from the store, meanwhile."""
+def test_version_comes_into_force_everywhere_and_never_reverts(site):
+    """Meanwhile one daemon is stopped and another is cut off from the store."""
     base = read_version(site)
     _, stopped, cut, last = site.daemons
-    with Watch(site) as watch:
+    with StatusSampler(site) as sampler:
         site.children[stopped].signal(signal.SIGSTOP)
         site.switch(cut=[cut])
         began = time.monotonic()
         site.submit(change_document(site, 5), base, "while-two-fail")
         for name in (last, cut):
-            watch.wait_for(name, base + 1)
+            sampler.wait_for(name, base + 1)
             print(f"{name}: in force after {time.monotonic() - began:.2f} s")
         site.children[stopped].signal(signal.SIGCONT)
         began = time.monotonic()
-        watch.wait_for(stopped, base + 1)
+        sampler.wait_for(stopped, base + 1)
         print(f"{stopped}: {time.monotonic() - began:.2f} s after it went on")
         site.switch(cut=[])
-    assert checks.find_version_regressions(watch.samples) == []
+    assert checks.find_version_regressions(sampler.samples) == []
 
 
 @pytest.mark.processes
-def test_daemon_that_can_tell_no_version_is_not_ready(site):
+def test_daemon_that_cannot_confirm_its_version_is_not_ready(site):
     """One daemon is cut off from the store and from all peers."""
     base = read_version(site)
     _, _, alone, last = site.daemons
-    with Watch(site) as watch:
+    with StatusSampler(site) as sampler:
         site.switch(cut=[alone])
         site.isolate(alone, "cut")
         began = time.monotonic()
-        watch.wait_for_unready(alone)
+        sampler.wait_for_unready(alone)
         print(f"{alone}: not ready {time.monotonic() - began:.1f} s after the cut")
         site.submit(change_document(site, 7), base, "while-one-is-alone")
-        watch.wait_for(last, base + 1)
+        sampler.wait_for(last, base + 1)
         site.switch(cut=[])
         site.isolate(alone, "open")
-        watch.wait_for(alone, base + 1)
-    assert checks.find_version_regressions(watch.samples) == []
-    accepted = [one.time for one in watch.samples if one.version > base][0]
+        sampler.wait_for(alone, base + 1)
+    assert checks.find_version_regressions(sampler.samples) == []
+    accepted = [sample.time for sample in sampler.samples if sample.version > base][0]
     late = [
-        one
-        for one in watch.samples
-        if one.daemon == alone and one.is_ready and one.time > accepted
+        sample
+        for sample in sampler.samples
+        if sample.daemon == alone and sample.is_ready and sample.time > accepted
     ]
-    assert all(one.version > base for one in late)
+    assert all(sample.version > base for sample in late)
 
 
 @pytest.mark.processes
-def test_all_daemons_restarted_in_an_outage_do_not_go_back(site):
+def test_daemons_restarted_in_an_outage_do_not_revert(site):
     base = read_version(site)
     site.submit(change_document(site, 6), base, "before-the-outage")
     site.switch(down=True)
@@ -190,15 +191,19 @@
     for number in range(4):
         site.start_daemon(number, "b")
     site.wait_for_operators()
-    with Watch(site) as watch:
+    with StatusSampler(site) as sampler:
         time.sleep(3.0)
-        during = list(watch.samples)
+        during = list(sampler.samples)
         site.switch(down=False)
         began = time.monotonic()
         for name in site.daemons:
-            watch.wait_for(name, base + 1)
+            sampler.wait_for(name, base + 1)
         print(f"all ready {time.monotonic() - began:.1f} s after the outage")
     assert during
-    assert not any(one.is_ready for one in during)
-    older = [one for one in watch.samples if one.is_ready and one.version <= base]
+    assert not any(sample.is_ready for sample in during)
+    older = [
+        sample
+        for sample in sampler.samples
+        if sample.is_ready and sample.version <= base
+    ]
     assert older == []
--- a/wigeonhitch/daemon/tests/test_drains.py
+++ b/wigeonhitch/daemon/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Planned stops under traffic of long requests, while daemons and links fail."""
+"""Planned stops of VMs under traffic of long requests, while daemons and links fail."""
 
 import signal
 import time
@@ -12,10 +12,10 @@
 WAVE_POOLS = [*SERVICES, "batch-pairing"]
 WORK = (0.05, 1.0, 4.0)
 
-# Seconds after a drain's beginning in which work may still start: two looks at
-# the fleet's signal and a few round trips, with room for a busy machine.
-LATE = 5.0
-WAVE_LIMIT = 100.0  # seconds
+# Time after the start of a drain in which work may still start: two reads of the
+# fleet signal and a few round trips, with a margin for a busy machine.
+MAX_START_DELAY_SECONDS = 5.0
+WAVE_LIMIT_SECONDS = 100.0
 
 
 @pytest.fixture(scope="module")
@@ -34,7 +34,7 @@
     return {"done": 0, "status": "unknown", "waiting": []}
 
 
-def wait_for_done(site, count, limit=WAVE_LIMIT):
+def wait_for_done(site, count, limit=WAVE_LIMIT_SECONDS):
     """Wait until the wave has done ``count`` VMs; return its description."""
     deadline = time.monotonic() + limit
     while (shown := read_wave(site))["done"] < count:
@@ -49,7 +49,7 @@
     calls = open_traffic(site, seed=41)
     stopped, killed, cut, isolated, _ = site.daemons
     calls.start(20, traffic.Mix(SERVICES, WORK, abandon_after=10.0))
-    calls.wait_for(20, lambda one: one.verdict == "ran")
+    calls.wait_for(20, lambda outcome: outcome.verdict == "ran")
     began = time.monotonic()
     assert site.request("POST", "/waves/monthly/start", {}).status_code == 200
     wait_for_done(site, 1)
@@ -75,7 +75,7 @@
     outcomes = calls.stop()
     runs = site.read_logs()
     drains = checks.find_drains(site.read_history())
-    latest, late = checks.find_late_starts(drains, runs, LATE)
+    latest, late = checks.find_late_starts(drains, runs, MAX_START_DELAY_SECONDS)
     print(f"{len(drains)} VMs stopped; last start {latest:.2f} s after a drain began")
     print(f"wave: {shown['done']} done in {time.monotonic() - began:.1f} s")
     assert len(drains) >= 9
--- a/wigeonhitch/daemon/tests/test_tls.py
+++ b/wigeonhitch/daemon/tests/test_tls.py
@@ -13,18 +13,18 @@
 
 @pytest.fixture(scope="module")
 def secured(tmp_path_factory):
-    """A site of two daemons whose callers, operators and peers use TLS."""
+    """Return a site of two daemons whose callers, operators and peers use TLS."""
     with contextlib.ExitStack() as stack:
         folder = tmp_path_factory.mktemp("tls")
         options = site.Options(daemons=2, tls=True)
-        made = site.open_site(stack, folder, process.Ports(), EXAMPLE, options)
-        made.activate_document()
-        made.wait_until_vms_known()
-        yield made
+        opened_site = site.open_site(stack, folder, process.Ports(), EXAMPLE, options)
+        opened_site.activate_document()
+        opened_site.wait_until_vms_known()
+        yield opened_site
 
 
 @pytest.mark.processes
-def test_request_is_served_over_tls_and_not_without(secured):
+def test_request_is_served_over_tls_only(secured):
     for daemon in secured.daemons.values():
         url = f"127.0.0.1:{daemon.callers}/order-lookup/x"
         answer = httpx.get(f"https://{url}", verify=secured.verify, trust_env=False)
@@ -34,14 +34,14 @@
 
 
 @pytest.mark.processes
-def test_daemons_hear_each_other_by_mutual_tls(secured):
+def test_daemons_exchange_heartbeats_over_mutual_tls(secured):
     for name in secured.daemons:
         status = secured.request("GET", "/status", daemon=name).json()
         assert status["alive"] == sorted(secured.daemons)
 
 
 def send_broken_frame(secured, daemon, *, with_certificate):
-    """Send a frame that a daemon refuses if it reads it at all."""
+    """Send an invalid frame, which a daemon counts as refused if it reads it."""
     context = ssl.create_default_context(cafile=secured.certificates["authority"])
     if with_certificate:
         context.load_cert_chain(
--- a/wigeonhitch/daemon/tests/test_workers.py
+++ b/wigeonhitch/daemon/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""How often a daemon reads the VM list."""
+"""How often a daemon reads the VM list and the fleet rows."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from wigeonhitch.fleet import state, view
 from wigeonhitch.platform import table
 
-COUNT = 800
+VM_COUNT = 800
 
 
 def write_row(platform, vm, row_state):
@@ -29,16 +29,16 @@
             "data_centre": "dc",
             "role": "worker",
         }
-        for number in range(COUNT)
+        for number in range(VM_COUNT)
     ]
     fake_platform = fake.Fake(vms)
-    for number in range(COUNT - 1):
+    for number in range(VM_COUNT - 1):
         write_row(fake_platform, f"w{number}", "up")
     return fake_platform
 
 
 @pytest.fixture
-def followed(platform):
+def worker_view(platform):
     return workers.Workers(
         view.Follower(platform.table),
         platform.client,
@@ -49,64 +49,68 @@
 
 
 @pytest.fixture
-def follow(platform, followed):
-    """A function that runs a daemon's readings and returns how many lists."""
-    worker_view = followed
+def count_list_reads(platform, worker_view):
+    """Return a function that runs the reads and returns the number of list reads."""
+    view_under_test = worker_view
     start = platform.now
 
     def run(seconds):
         before = platform.engine.counters["reads"][workers.PURPOSE]
         for _ in range(seconds):
-            fake.run(worker_view.read(platform.now - start))
+            fake.run(view_under_test.read(platform.now - start))
             platform.advance(1.0)
         return platform.engine.counters["reads"][workers.PURPOSE] - before
 
     return run
 
 
-def test_the_list_is_read_seldom_while_the_rows_tell_nothing_new(follow):
-    period = workers.compute_list_period(COUNT)
-    assert follow(int(3 * period)) <= 4
+def test_list_is_read_rarely_while_the_rows_show_no_change(count_list_reads):
+    period = workers.compute_list_period(VM_COUNT)
+    assert count_list_reads(int(3 * period)) <= 4
 
 
-@pytest.mark.parametrize("vm", ["w7", f"w{COUNT - 1}"])
-def test_a_vm_that_comes_up_makes_the_list_be_read_soon(platform, followed, follow, vm):
-    soon = int(workers.compute_list_period(COUNT, has_changes=True)) + 2
-    follow(soon)
-    assert follow(soon) == 0
+@pytest.mark.parametrize("vm", ["w7", f"w{VM_COUNT - 1}"])
+def test_list_is_read_soon_after_a_vm_comes_up(
+    platform, worker_view, count_list_reads, vm
+):
+    soon = int(workers.compute_list_period(VM_COUNT, has_changes=True)) + 2
+    count_list_reads(soon)
+    assert count_list_reads(soon) == 0
     if vm == "w7":
         write_row(platform, vm, "down")
-        followed.mark_rows_stale()
-        assert follow(3) == 0
+        worker_view.mark_rows_stale()
+        assert count_list_reads(3) == 0
     write_row(platform, vm, "up")
-    followed.mark_rows_stale()
-    assert follow(soon) == 1
-    assert follow(soon) == 0
+    worker_view.mark_rows_stale()
+    assert count_list_reads(soon) == 1
+    assert count_list_reads(soon) == 0
 
 
 def count_row_reads(platform):
     return platform.engine.counters["reads"]["fleet"]
 
 
-def test_rows_are_read_when_the_signal_moves_and_seldom_otherwise(
-    platform, followed, follow
+def test_rows_are_read_when_the_signal_changes_and_rarely_otherwise(
+    platform, worker_view, count_list_reads
 ):
-    follow(1)
+    count_list_reads(1)
     before = count_row_reads(platform)
-    follow(60)
+    count_list_reads(60)
     assert count_row_reads(platform) - before <= 60 / workers.ROWS_PERIOD_SECONDS + 1
     write_row(platform, "w3", "draining")
-    followed.mark_rows_stale()
-    follow(1)
-    assert followed.describe().unusable == ("w3",)
+    worker_view.mark_rows_stale()
+    count_list_reads(1)
+    assert worker_view.describe().unusable == ("w3",)
 
 
-def test_rows_that_could_not_be_read_are_tried_again_soon(platform, followed, follow):
-    follow(1)
+def test_failed_read_of_the_rows_is_retried_soon(
+    platform, worker_view, count_list_reads
+):
+    count_list_reads(1)
     write_row(platform, "w3", "draining")
-    followed.mark_rows_stale()
+    worker_view.mark_rows_stale()
     platform.switch(down=True)
-    follow(1)
+    count_list_reads(1)
     platform.switch(down=False)
-    follow(3)
-    assert followed.describe().unusable == ("w3",)
+    count_list_reads(3)
+    assert worker_view.describe().unusable == ("w3",)
--- a/wigeonhitch/daemon/workers.py
+++ b/wigeonhitch/daemon/workers.py
@@ -26,7 +26,7 @@
 MIN_LIST_PERIOD_SECONDS = 4.0
 MIN_CHANGED_PERIOD_SECONDS = 2.0
 
-# Added to the interval per VM on the list, entry VMs included: an entry takes about
+# Interval per VM on the list, entry VMs included: an entry takes about
 # 160 bytes, so the list uses at most 1.6 KB/s of the 5 KB/s that control traffic
 # may use, and 3.2 KB/s while the rows show changes.
 LIST_PERIOD_PER_VM_SECONDS = 0.1
