--- a/wigeonhitch/placement/controller.py
+++ b/wigeonhitch/placement/controller.py
@@ -131,7 +131,7 @@
     def now(self) -> float:
         """Return the table's time in seconds, estimated from the takeover.
 
-        Based on a monotonic clock that counts suspension.
+        Based on the clock that includes time in suspension.
         """
         return self._platform.clock() + self._clock_offset
 
