--- a/wigeonhitch/pool/health.py
+++ b/wigeonhitch/pool/health.py
@@ -16,11 +16,11 @@
 
 __all__ = ["is_slow", "is_slower_than_peers", "is_stuck"]
 
-STUCK_AFTER = 1.0
+STUCK_AFTER_SECONDS = 1.0
 """Seconds without progress after which a run counts as stuck: one and a half holds,
 while the longest tasks need 0.05 s for a percent."""
 
-LASTING_STUCK_AFTER = 2.0
+LASTING_STUCK_AFTER_SECONDS = 2.0
 """The same in seconds for a lasting task that isn't fully started; lasting tasks
 start up within a second."""
 
@@ -47,10 +47,10 @@
         return False
     if run.step.gang or run.step.fills:
         return False  # other tasks determine its pace
-    stalled = run.vm.reported_clock - run.moved
+    stalled = run.vm.reported_clock - run.last_progress_clock
     if run.step.lasting:
-        return run.work < 100 and stalled > LASTING_STUCK_AFTER
-    return stalled > STUCK_AFTER
+        return run.work < 100 and stalled > LASTING_STUCK_AFTER_SECONDS
+    return stalled > STUCK_AFTER_SECONDS
 
 
 def is_slow(run: vm.Run, now: float) -> bool:
@@ -74,8 +74,8 @@
     """Return whether a run is slow compared with its step's tasks on other VMs.
 
     Only runs with a known rate are compared; the result is None if there are none.
-    Without this comparison, large jobs whose estimates were off by up to nine tenths
-    had 30 runs restarted and 8 healthy VMs quarantined for 4 s.
+    Without this comparison, large jobs whose estimates are off by up to nine tenths
+    have runs restarted in vain and healthy VMs quarantined.
     """
     peer_times = [
         100 / peer.rate for peer in peers if peer.rate and peer.vm is not run.vm
--- a/wigeonhitch/pool/planner.py
+++ b/wigeonhitch/pool/planner.py
@@ -158,13 +158,13 @@
         stops = []
         for run in list(self.pool.live.values()):
             if run.state is vm.RunState.STOPPING:
-                if now - run.stop_sent > STOP_RETRY_SECONDS:
+                if now - run.stop_sent_at > STOP_RETRY_SECONDS:
                     stops.append(self._stop(run, now))
             elif run.state is not vm.RunState.RUNNING:
                 continue
             elif (
                 not self.pool.is_wanted(run)
-                or self._must_vacate(run, placer)
+                or self._must_drain(run, placer)
                 or self._must_restart_elsewhere(run, placer, now)
             ):
                 stops.append(self._stop(run, now))
@@ -210,10 +210,10 @@
 
     def _stop(self, run: vm.Run, now: float) -> message.Stop:
         run.state = vm.RunState.STOPPING
-        run.stop_sent = now
+        run.stop_sent_at = now
         return message.Stop(run.vm, run.task, run.number)
 
-    def _must_vacate(self, run: vm.Run, placer: placement.Placer) -> bool:
+    def _must_drain(self, run: vm.Run, placer: placement.Placer) -> bool:
         """Return whether a lasting run must leave its VM, which is closed or leaving.
 
         The step keeps to its ``max_unavailable``, whatever the cause of the missing
--- a/wigeonhitch/pool/view.py
+++ b/wigeonhitch/pool/view.py
@@ -13,7 +13,7 @@
 """Size of a leader's range of run numbers for each task; the ranges of successive
 leaders don't overlap."""
 
-LAPSE_MARGIN = 0.25
+LAPSE_MARGIN_SECONDS = 0.25
 """Seconds added to a lease's end, clock drift and stop time: times in answers are
 rounded to milliseconds, and a worker's timer may fire late."""
 
@@ -182,7 +182,7 @@
     def set_closed(
         self, ids: frozenset[str], ended: frozenset[str], version: int = 0
     ) -> None:
-        """Set the workers that are to be vacated and those that have ended.
+        """Set the workers that are closed and those that have ended.
 
         All others are open. A set with an older store version than the last one is
         ignored: it would reopen VMs that are already published as empty.
@@ -227,7 +227,7 @@
         """Drop the runs and VMs whose leases have certainly expired."""
         seconds_waited = now - self._takeover_time
         longest = self.times.longest_lease * (1 + vm.MAX_CLOCK_DRIFT)
-        grace = self.times.stop_grace + LAPSE_MARGIN
+        grace = self.times.stop_grace + LAPSE_MARGIN_SECONDS
         for machine in list(self.vms.values()):
             # A VM that never answered may still have received a renewal of ours.
             lapsed = machine.is_lapsed(now, grace)
@@ -304,9 +304,9 @@
 
     def record_degraded_run(self, run: vm.Run, reason: str, now: float) -> None:
         """Record that a run is stuck or slow; its VM may be quarantined for it."""
-        if run.is_sick:
+        if run.is_degraded:
             return
-        run.is_sick = True
+        run.is_degraded = True
         self.log_event(
             "run degraded", reason=reason, work=run.work, **describe_run(run)
         )
