--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of decisions and daemons; no part of the tests."""
+"""Benchmarks of decisions and daemons, not run by the test suite."""
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,8 +1,8 @@
-"""Time until a change is in force over all daemons, and what it costs each.
+"""Propagation time of a configuration change, and its cost per daemon.
 
 Run with ``python -m benchmarks.configuration``. The decisions of 9, 60 and 220
-daemons are driven directly, under a clock of their own, with delays for
-messages and for the store; only processor times are of this machine.
+daemons are driven directly under a simulated clock, with simulated delays of
+peer messages and of the store; only processor times are measured on this machine.
 """
 
 import heapq
@@ -28,22 +28,22 @@
 
 DAEMON_COUNTS = (9, 60, 220)
 CHANGE_COUNT = 20
-# Seconds between two changes, enough to settle.
+# Long enough for one change to settle before the next.
 CHANGE_INTERVAL_SECONDS = 30.0
 PEER_DELAY_SECONDS = (0.001, 0.003)
 STORE_DELAY_SECONDS = (0.002, 0.006)
 SLOW_STORE_DELAY_SECONDS = (1.0, 3.0)
 PAUSE_SECONDS = 20.0
 SEED = 1
-# Status line and headers of an answer of the store, bytes.
+# Status line and headers of one response of the store.
 RESPONSE_HEADER_BYTES = 160
-# Frame of a peer message, bytes.
+# Framing overhead of one peer message.
 FRAME_BYTES = 8
 CHANGES_PER_DAY = 520
 
 
 class Case(NamedTuple):
-    """One row of the table."""
+    """One benchmark case: a fleet size and a fault."""
 
     name: str
     daemons: int
@@ -55,7 +55,7 @@
 
 
 class Simulation:
-    """Daemons, a store and an event queue under a clock of its own."""
+    """Daemons, a store and an event queue under a simulated clock."""
 
     def __init__(self, case: Case, contents: list[bytes]) -> None:
         self.case = case
@@ -81,24 +81,24 @@
             self.call_later(self.rng.random(), lambda daemon=daemon: self.wake(daemon))
 
     def call_later(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Schedule a call."""
+        """Schedule a callback after a delay."""
         heapq.heappush(self.queue, (self.now + seconds, next(self.sequence), callback))
 
     def run_until(self, end: float) -> None:
-        """Carry out everything that is due before a time."""
+        """Run every event that is due until a time."""
         while self.queue and self.queue[0][0] <= end:
             self.now, _, callback = heapq.heappop(self.queue)
             callback()
         self.now = end
 
     def wake(self, daemon: int) -> None:
-        """Wake one daemon, and again when it asks to."""
+        """Send a tick to a daemon and schedule its next one."""
         self.deliver(daemon, message.Tick())
         wait = max(self.cores[daemon].next_wake(self.now) - self.now, 0.01)
         self.call_later(wait, lambda: self.wake(daemon))
 
     def deliver(self, daemon: int, event: message.Event) -> None:
-        """Give one event to a daemon; one that is paused gets it later."""
+        """Deliver an event to a daemon, after its pause if it is paused."""
         if self.now < self.resume_at.get(daemon, 0.0):
             wait = self.resume_at[daemon] - self.now
             if not isinstance(event, message.Tick):
@@ -108,7 +108,7 @@
             self.execute(daemon, action)
 
     def execute(self, daemon: int, action: message.Action) -> None:
-        """Carry out one action with its delay."""
+        """Execute an action, with its delay."""
         match action:
             case message.SendPeer():
                 self.sent[daemon] += len(message.encode(action.message)) + FRAME_BYTES
@@ -120,13 +120,13 @@
                 self.query_store(daemon, action)
 
     def send(self, daemon: int, peer: int, event: message.Received) -> None:
-        """Send a message to a peer; one that is cut off hears nothing."""
+        """Send a message to a peer unless either side is isolated."""
         if not {daemon, peer} & self.isolated:
             delay = self.rng.uniform(*PEER_DELAY_SECONDS)
             self.call_later(delay, lambda: self.deliver(peer, event))
 
     def query_store(self, daemon: int, action: message.Action) -> None:
-        """Ask the store; the answer shows the moment halfway."""
+        """Query the store; its answer reflects the state at half the delay."""
         started = self.now
         delay = self.rng.uniform(*self.case.store_delay)
         read_timeout = self.cores[daemon].limits.read_timeout
@@ -146,7 +146,7 @@
     def read_store(
         self, action: message.Action, started: float, lost: bool
     ) -> message.Event:
-        """Return what the store answers at this moment."""
+        """Return the store's answer for its present state."""
         version = None if lost else self.version
         match action:
             case message.Poll():
@@ -158,7 +158,7 @@
         return message.Fetched(action.hash, None if lost else data)
 
     def accept(self) -> None:
-        """Accept the next version through the first daemon."""
+        """Accept the next version at the first daemon."""
         self.version += 1
         self.accepted_at[self.version] = self.now
         content = self.hashes[self.version - 1]
@@ -168,7 +168,7 @@
 
 
 def measure(case: Case, contents: list[bytes]) -> list[Any]:
-    """Run one case; return its row."""
+    """Run one case and return its table row."""
     simulation = Simulation(case, contents)
     simulation.run_until(10.0)
     faulty = case.daemons - 1
@@ -212,13 +212,13 @@
 
 
 def is_unready(simulation: Simulation, faulty: int) -> bool:
-    """Return whether the daemon that is cut off has stopped serving."""
+    """Return whether the isolated daemon reports itself as not ready."""
     readiness = simulation.cores[faulty].readiness(simulation.now)
     return readiness is not distribution.Readiness.READY
 
 
 def count_stale_but_ready(simulation: Simulation, start: float) -> int:
-    """Count daemons that run, are ready, and are old after nine seconds."""
+    """Count running daemons that are ready on an old version after 9 s."""
     if simulation.now - start <= 9.0:
         return 0
     return sum(
@@ -230,13 +230,13 @@
 
 
 def make_contents() -> list[bytes]:
-    """Return small documents that differ."""
+    """Return small documents with distinct contents."""
     base = make_document(1)
     return [canonical.encode(base._replace(fleet=f"f{n}")) for n in range(CHANGE_COUNT)]
 
 
 def make_document(pools: int) -> document.Document:
-    """Return a document with so many pools, teams and waves."""
+    """Return a document with this number of pools, teams and waves."""
     names = [f"pool-{number:03d}" for number in range(pools)]
     budget = document.Budget(number=5)
     window = document.Window(0.0, 1.0)
@@ -253,7 +253,7 @@
 
 
 def time_call(call: Callable[[], Any], repeats: int) -> float:
-    """Return the processor time of one call, milliseconds."""
+    """Return the mean processor time of one call in milliseconds."""
     started_at = time.process_time()
     for _ in range(repeats):
         call()
@@ -261,7 +261,7 @@
 
 
 def measure_poll() -> tuple[int, float]:
-    """Return bytes and the core's processor time (ms) of one idle poll."""
+    """Return bytes and processor time in the core (ms) of one idle poll."""
     body = {"keys": watcher.SIGNALS}
     request = httpx.Request("POST", "http://10.0.0.1:8000/table/read", json=body)
     header_bytes = sum(len(k) + len(v) + 4 for k, v in request.headers.raw)
@@ -285,7 +285,7 @@
 
 
 def print_table(headers: list[str], rows: list[list[Any]]) -> None:
-    """Print aligned columns."""
+    """Print a table with aligned columns."""
     cells = [[str(cell) for cell in row] for row in (headers, *rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     for row in cells:
@@ -298,10 +298,10 @@
     rows = []
     for daemons in DAEMON_COUNTS:
         for case in (
-            Case("tell 3 peers", daemons),
+            Case("notify 3 peers", daemons),
             Case("poll only", daemons, fan_out=0),
             Case(
-                "store slow, tell 3 peers",
+                "store slow, notify 3 peers",
                 daemons,
                 store_delay=SLOW_STORE_DELAY_SECONDS,
             ),
@@ -311,14 +311,14 @@
                 fan_out=0,
                 store_delay=SLOW_STORE_DELAY_SECONDS,
             ),
-            Case("only one hears the store", daemons, store_unreachable=True),
+            Case("one daemon reaches store", daemons, store_unreachable=True),
             Case("one paused 20 s", daemons, paused=True),
-            Case("one cut off", daemons, isolated=True),
+            Case("one isolated", daemons, isolated=True),
         ):
             rows.append(measure(case, contents))
     print(f"Seconds from accepted to in force, {CHANGE_COUNT} changes, seed {SEED}")
     headers = ["case", "daemons", "median", "p99", "worst"]
-    headers += ["cut off: not ready", "ready though old", "peer bytes/change"]
+    headers += ["isolated: not ready", "ready though stale", "peer bytes/change"]
     print_table(headers, rows)
     poll_bytes, cpu_ms = measure_poll()
     print(f"\nOne poll: {poll_bytes} bytes, {cpu_ms * 1e3:.0f} us in the core")
@@ -339,7 +339,7 @@
                 f"{poll_bytes + change_bytes_per_second:.0f}",
             ]
         )
-    headers = ["pools", "document bytes", "ms to take it", "bytes/s at 520 a day"]
+    headers = ["pools", "document bytes", "ms to load", "bytes/s at 520/day"]
     print_table(headers, cost_rows)
 
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,12 +1,12 @@
-"""What control costs a daemon, measured on real daemons without any request.
+"""Cost of control traffic per daemon, measured on real daemons without requests.
 
 Starts a platform stand-in, one process of workers and a number of daemons on
-loopback, waits until all is quiet, and counts over some seconds: processor
-time and resident memory of each daemon from ``/proc``, bytes to peers from
-``/metrics``, and every request and byte to the platform by a relay in between.
+loopback, waits until start-up work is over, and then measures for a period:
+processor time and resident memory of each daemon from ``/proc``, bytes to peers
+from ``/metrics``, and requests and bytes to the platform through a relay.
 
-Run ``python -m benchmarks.control``; ``--sizes 3x24,9x24`` names runs of
-daemons x workers, and ``--json FILE`` keeps the figures for `benchmarks.plot`.
+Run ``python -m benchmarks.control``; ``--sizes 3x24,9x24`` lists runs as
+daemons x workers, and ``--json FILE`` writes the figures for `benchmarks.plot`.
 """
 
 import argparse
@@ -28,10 +28,10 @@
 from wigeonhitch.configuration import check
 
 DEFAULT_SIZES = "3x24,6x24,9x24,24x24,9x96,9x192"
-SETTLE_SECONDS = 40.0  # seconds until start-up work is over
-PERIOD_SECONDS = 30.0  # seconds of counting
+SETTLE_SECONDS = 40.0  # until start-up work is over
+PERIOD_SECONDS = 30.0  # length of the measurement
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-WORKERS_PER_POOL = 6  # workers a pool, about as at the target (800 in 128)
+WORKERS_PER_POOL = 6  # about that of the target fleet (800 workers in 128 pools)
 
 
 def make_document(workers: int) -> dict[str, Any]:
@@ -71,7 +71,7 @@
 
 
 def run() -> None:
-    """Measure all sizes and print them."""
+    """Measure and print all sizes."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default=DEFAULT_SIZES)
     parser.add_argument("--settle", type=float, default=SETTLE_SECONDS)
@@ -90,7 +90,7 @@
 
 
 def measure(daemons: int, workers: int, settle: float, period: float) -> dict[str, Any]:
-    """Start a system, let it settle and count; return figures by name."""
+    """Start a system, let it settle and measure; return figures by name."""
     with contextlib.ExitStack() as stack:
         folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         system, counting_relay = start_system(stack, folder, daemons, workers)
@@ -153,7 +153,7 @@
 
 
 def read_counters(system: site.Site, counting_relay: relay.Relay) -> dict[str, Any]:
-    """Return all counters as they stand."""
+    """Return the current values of all counters."""
     pids = {name: system.children[name].popen.pid for name in system.daemons}
     cpu = {name: read_cpu_seconds(pid) for name, pid in pids.items()}
     now = time.monotonic()
@@ -180,7 +180,7 @@
 
 
 def read_resident_mb(pid: int) -> float:
-    """Return the resident memory of a process; MB."""
+    """Return the resident memory of a process in MB."""
     text = pathlib.Path(f"/proc/{pid}/status").read_text(encoding="utf-8")
     match = re.search(r"VmRSS:\s+(\d+) kB", text)
     return int(match.group(1)) / 1024 if match else 0.0
@@ -206,8 +206,8 @@
     """Print one run."""
     print(f"\n{result['daemons']} daemons, {result['workers']} workers, no requests")
     print(f"  processor, % of a core     mean {result['cpu_mean']:.2f}", end="")
-    print(f"  median {result['cpu_median']:.2f}  most {result['cpu_most']:.2f}")
-    print(f"  resident, most             {result['resident_mb']:.0f} MB")
+    print(f"  median {result['cpu_median']:.2f}  max {result['cpu_most']:.2f}")
+    print(f"  resident, max              {result['resident_mb']:.0f} MB")
     print(f"  store, all daemons         {result['reads']:.1f} reads/s", end="")
     print(f"  {result['writes']:.2f} writes/s")
     total = sum(result["peer_bytes"].values())
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -1,8 +1,8 @@
-"""Draw one day of a site before and after a change, from daemons' log lines.
+"""Plot one day of a site before and after a change, from daemons' log lines.
 
-``python -m benchmarks.day BEFORE AFTER IMAGE`` draws, for each of two files of
-lines, the VMs of each pool and how many jobs were accepted and how many of them
-came late, by half seconds of their acceptance.
+``python -m benchmarks.day BEFORE AFTER IMAGE`` plots for each of two log files
+the VMs of each pool, and the accepted and late jobs in bins of half a second by
+acceptance time.
 """
 
 import collections
@@ -21,22 +21,22 @@
 __all__ = ["Day", "collect", "draw"]
 
 BIN_SECONDS = 0.5
-"""Seconds that are drawn as one."""
+"""Width of a bin of the job histogram."""
 
 
 class Day(NamedTuple):
-    """What is drawn; times in seconds from the first job's acceptance."""
+    """Plotted series; times in seconds since the first job was accepted."""
 
     vms: dict[str, list[tuple[float, int]]]
-    """By pool, the VMs known to its leader at each change."""
+    """Per pool, the VMs known to its leader after each change."""
     jobs: dict[float, int]
-    """Jobs by the half second of their acceptance."""
+    """Completed jobs per bin of acceptance time."""
     late: dict[float, int]
-    """Those of them that came late."""
+    """Jobs per bin that took longer than their objective."""
 
 
 def collect(lines: Iterable[dict[str, Any]]) -> Day:
-    """Return what is drawn of some daemons' lines, in the order of time."""
+    """Build the plotted series from daemons' log lines."""
     ordered = sorted(lines, key=losses.read_time)
     completions = [line for line in ordered if line["change"] == "job complete"]
     first_accepted_at = min(
@@ -58,7 +58,7 @@
 def _count_vms(
     lines: list[dict[str, Any]], first_accepted_at: float
 ) -> dict[str, list[tuple[float, int]]]:
-    """Count by pool the VMs that joined and haven't gone."""
+    """Return per pool the number of VMs after each join or departure."""
     known_vms: dict[str, set[str]] = collections.defaultdict(set)
     series: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
     for line in lines:
@@ -78,7 +78,7 @@
 
 
 def draw(days: dict[str, Day], path: pathlib.Path) -> None:
-    """Draw days below each other, by their titles."""
+    """Plot days below each other under their titles and save the image."""
     figure, rows = pyplot.subplots(
         2 * len(days), 1, figsize=(9, 4 * len(days)), dpi=90, sharex=True
     )
@@ -107,20 +107,20 @@
     axes.bar(
         day.late.keys(), day.late.values(), BIN_SECONDS, align="edge", color="firebrick"
     )
-    axes.set_ylabel("jobs, late ones red")
+    axes.set_ylabel("jobs (late: red)")
 
 
 def main(before: pathlib.Path, after: pathlib.Path, image: pathlib.Path) -> None:
-    """Draw a day before and after a change.
+    """Plot a day before and after a change.
 
     Parameters
     ----------
     before : pathlib.Path
-        Daemons' output of the day before.
+        Daemons' output of the day before the change.
     after : pathlib.Path
-        The same after.
+        Daemons' output of the day after the change.
     image : pathlib.Path
-        The PNG to write.
+        PNG file to write.
     """
     days = {
         title: collect(losses.read_lines(file.read_text()))
--- a/benchmarks/demand.py
+++ b/benchmarks/demand.py
@@ -1,8 +1,9 @@
-"""Shifting VMs between pools: a plain threshold against a sustained one.
+"""Rebalancing VMs between pools: a plain threshold against hysteresis.
 
-The same seeded load trace for both: daily swing, bursts of one minute and
-noise, five pools of six VMs of eight slots. Counted are moves and the time in
-which some pool's busy slots exceed its capacity. ``python -m benchmarks.demand``.
+Both policies see the same seeded load trace of five pools of six VMs with eight
+slots: a daily cycle, bursts of about one minute, and noise. The benchmark counts
+moves and the pool-minutes in which demand exceeds capacity. Run it as
+``python -m benchmarks.demand``.
 """
 
 import math
@@ -17,11 +18,11 @@
 SEED_COUNT = 5
 DAY_SECONDS = 86_400.0
 DRAIN_SECONDS = 60.0
-"""Seconds in which a moving VM serves neither pool."""
+"""Time during which a moving VM serves neither pool."""
 
 
 def build_trace(seed: int, noise: float) -> list[list[float]]:
-    """Return busy slots wanted, per step and pool."""
+    """Return the demanded slots per step and pool."""
     rng = random.Random(seed)
     bursts = [0.0] * POOL_COUNT
     trace = []
@@ -45,7 +46,7 @@
 def run(
     trace: list[list[float]], strategy: str, limits: demand.Limits
 ) -> tuple[int, float]:
-    """Return moves, and pool-minutes in which load exceeded capacity."""
+    """Return moves and pool-minutes in which demand exceeded capacity."""
     sizes = {f"p{pool}": 6 for pool in range(POOL_COUNT)}
     arriving: list[tuple[float, str]] = []
     trends: dict[str, demand.Trend] = {}
@@ -72,9 +73,9 @@
             for name in sizes
         }
         changes: dict[str, int] = {}
-        if strategy == "plain":
+        if strategy == "threshold":
             changes = demand.decide_by_threshold(loads, limits)
-        elif strategy == "sustained":
+        elif strategy == "hysteresis":
             changes, trends = demand.decide_with_hysteresis(loads, trends, limits, now)
         for name, change in changes.items():
             if change < 0:
@@ -86,24 +87,24 @@
 
 
 def main() -> None:
-    """Print the means of moves and time over capacity on the same traces."""
-    print(f"{'noise':>6} {'way':>22} {'moves':>6} {'over, pool-min':>15}")
+    """Print mean moves and mean time over capacity for each policy."""
+    print(f"{'noise':>6} {'policy':>22} {'moves':>6} {'over, pool-min':>15}")
     for noise in (0.03, 0.1):
         traces = [build_trace(seed, noise) for seed in range(SEED_COUNT)]
         strategies = [
             ("none", "none", demand.Limits()),
-            ("plain", "plain", demand.Limits()),
+            ("threshold", "threshold", demand.Limits()),
         ]
         for scale_up_delay, scale_down_delay in (
             (30.0, 300.0),
             (60.0, 600.0),
             (180.0, 900.0),
         ):
-            label = f"sustained {scale_up_delay:.0f}/{scale_down_delay:.0f} s"
+            label = f"hysteresis {scale_up_delay:.0f}/{scale_down_delay:.0f} s"
             limits = demand.Limits(
                 scale_up_delay=scale_up_delay, scale_down_delay=scale_down_delay
             )
-            strategies.append((label, "sustained", limits))
+            strategies.append((label, "hysteresis", limits))
         for label, strategy, limits in strategies:
             runs = [run(trace, strategy, limits) for trace in traces]
             moves = statistics.fmean(moves for moves, _ in runs)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,9 +1,9 @@
-"""Waves and moves measured: buffer, roll-out, moves, and the cost of a round.
+"""Maintenance waves and moves: buffer, rollout time, moves, cost of a round.
 
-A seeded event loop of one process drives the real decisions of
-`wigeonhitch.fleet` round by round: take, drain, reboot, check, moves. Drains,
-reboots, failures and restarts have drawn lengths and times. Run it as
-``python -m benchmarks.fleet``; the argument ``quick`` leaves out the largest
+A seeded event loop in one process drives the decisions of `wigeonhitch.fleet`
+round by round: stop, drain, reboot, check, moves. Times and durations of drains,
+reboots, failures and restarts are drawn at random. Run it as
+``python -m benchmarks.fleet``; the argument ``quick`` skips the largest
 fleet.
 """
 
@@ -38,7 +38,7 @@
 
 
 class Layout(NamedTuple):
-    """Pools by required VMs, the spare VM each has, and the shared buffer."""
+    """Required VMs per pool, spares of each pool, and the shared buffer."""
 
     name: str
     required: tuple[int, ...]
@@ -47,7 +47,7 @@
 
     @property
     def vms(self) -> int:
-        """Return the number of VMs."""
+        """Total number of VMs."""
         return (
             sum(self.required)
             + self.own_spares * len(self.required)
@@ -56,7 +56,7 @@
 
 
 class Result(NamedTuple):
-    """Measures of one run, and lower bounds from the lengths drawn in it."""
+    """Measures of one run (s), with lower bounds for its drawn durations."""
 
     rollout: float
     rollout_bound: float
@@ -91,18 +91,18 @@
 
 
 class EventLoop:
-    """Event loop around the decisions; time in seconds.
+    """Event loop that drives the decisions; times in seconds.
 
     Parameters
     ----------
     layout : Layout
-        The fleet.
+        Pools and spares of the fleet.
     pick : callable
-        Decides which stops begin.
+        Selects the stops to begin.
     seed : int
-        Of all lengths and failures.
+        Seed of all durations and failures.
     failures, restarts : float
-        Unplanned per day over the whole fleet.
+        Unplanned events per day over the whole fleet.
     """
 
     def __init__(
@@ -143,18 +143,18 @@
                 self.schedule(event_time, kind, "")
 
     def add(self, vm: str, number: int) -> None:
-        """Add a VM; four to a rack, racks in turn over three data centres."""
+        """Add a VM: four per rack, racks round-robin over three data centres."""
         rack = number // 4
         self.machines[vm] = machines.Machine(
             vm, "k", vm, f"r{rack}", f"d{rack % 3}", machines.MachineState.LIVE
         )
 
     def schedule(self, event_time: float, kind: str, vm: str) -> None:
-        """Put an event on the queue."""
+        """Schedule an event."""
         heapq.heappush(self.events, (event_time, next(self.sequence), kind, vm))
 
     def build_snapshot(self) -> wave.Snapshot:
-        """Return what the decisions see now."""
+        """Return the current input of the decisions."""
         healthy = frozenset(self.machines) - self.unhealthy
         observation = state.Observation(self.now, self.machines, self.now, healthy)
         busy = frozenset(self.busy)
@@ -164,7 +164,7 @@
         )
 
     def run_round(self) -> None:
-        """Run one round, and plan the next one if anything changed."""
+        """Run one round, and schedule the next one if anything changed."""
         snapshot = self.build_snapshot()
         started_at = time.process_time()
         changes = wave.advance(snapshot)[0]
@@ -185,7 +185,7 @@
             self.schedule(self.now + ROUND_INTERVAL_SECONDS, "tick", "")
 
     def check(self, snapshot: wave.Snapshot, picked: Sequence[change.Change]) -> None:
-        """Check that planned stops leave every pool its required VMs."""
+        """Check that the picked stops leave each pool its required VMs."""
         pools = {pool.name: pool for pool in self.document.pools}
         picked_vms = {item.row.vm for item in picked}
         for name in {item.row.pool for item in picked}:
@@ -199,7 +199,7 @@
             assert len(serving) >= budget.required(pools[name]), name
 
     def apply(self, changes: Sequence[change.Change]) -> None:
-        """Make changes and plan what follows from them."""
+        """Apply changes and schedule the events that follow."""
         for item in changes:
             row = item.row._replace(version=next(self.sequence))
             if item.step is change.Step.RELEASE:
@@ -220,7 +220,7 @@
                 self.schedule(self.now + boot_duration, "booted", row.vm)
 
     def handle(self, kind: str, vm: str) -> None:
-        """Let one event happen."""
+        """Process one event."""
         if kind == "drained":
             self.busy.discard(vm)
         elif kind == "booted" and vm in self.machines:
@@ -243,7 +243,7 @@
             self.add(vm, self.rng.randrange(self.layout.vms))
 
     def run(self) -> Result:
-        """Run the wave until it has finished, and return the measures."""
+        """Run the wave until it is finished and return the measures."""
         self.run_round()
         while self.events and not self.is_done:
             event_time = self.events[0][0]
@@ -263,7 +263,7 @@
                 max(sum(stops) for stops in self.stop_durations.values())
                 / self.layout.own_spares
             )
-        # Each pool lacks one VM once, and in the end the buffer lacks its own.
+        # Each pool borrows one VM once, and the buffer is refilled at the end.
         shared_spares = self.layout.shared_spares
         moves_bound = len(self.layout.required) + shared_spares if shared_spares else 0
         return Result(
@@ -277,9 +277,9 @@
 
 
 def pick_batch(snapshot: wave.Snapshot) -> batch.Picks:
-    """Return the next fixed batch of each wave: the baseline of measurements.
+    """Return the next fixed batch of each wave, the baseline picker.
 
-    One VM of each pool at a time, and none before the whole batch is back.
+    A batch is one VM of each pool; the next one begins when all are back.
     """
     active_waves = {
         row.wave
@@ -299,16 +299,16 @@
 
 
 def print_row(cells: Sequence[object], widths: Sequence[int]) -> None:
-    """Print one line of a table."""
+    """Print one row of a table."""
     pairs = zip(cells, widths, strict=True)
     print("  ".join(f"{cell!s:>{width}}" for cell, width in pairs))
 
 
 def run_table(name: str, layouts: Sequence[Layout], seeds: int) -> None:
-    """Print the measures of each layout, picker and kind of day."""
+    """Print the measures of each layout, picker and failure rate."""
     widths = (12, 8, 15, 5, 6, 6, 9, 9, 6, 6, 7, 7)
-    header = "layout", "picker", "day", "VMs", "buffer", "bound", "roll-out"
-    print(f"\n{name}: {seeds} seeds; roll-out and bound in minutes (mean)")
+    header = "layout", "picker", "day", "VMs", "buffer", "bound", "rollout"
+    print(f"\n{name}: {seeds} seeds; rollout and bound in minutes (mean)")
     print_row((*header, "bound", "mean", "worst", "moves", "bound"), widths)
     pickers = {"fixed": pick_batch, "largest": batch.pick_stops}
     days = {"ordinary": {}, "14 and 86": {"failures": 14.0, "restarts": 86.0}}
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -1,9 +1,9 @@
-"""Processor time and waits of a proxied request: ``python -m benchmarks.hop``.
+"""Processor time and latency of a proxied request: ``python -m benchmarks.hop``.
 
-In one run, on the same worker stand-ins: a bare pass-through hop of the same
-libraries with one httpx client, the same with a client per worker, and one
-real daemon, by callers at once. The daemon also decides, counts slots and, for
-keyed requests, claims in the platform stand-in's table.
+Compares, on the same worker stand-ins and by number of concurrent callers: a
+bare pass-through hop of the same libraries with one httpx client, the same with
+one client per worker, and one real daemon. The daemon also routes, counts slots
+and, for keyed requests, claims in the platform stand-in's table.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 
 class Row(NamedTuple):
-    """One line: milliseconds of processor per request, and waits in ms."""
+    """One row: processor time per request, latencies and throughput."""
 
     name: str
     callers: int
@@ -38,14 +38,14 @@
 
 
 def read_cpu_seconds(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the processor time that a process has used in seconds."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
     fields = text.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
 
 async def send_requests(url: str, callers: int, count: int, keyed: bool) -> list[float]:
-    """Send ``count`` requests from ``callers`` at once; return their seconds."""
+    """Send requests from concurrent callers; return latencies in seconds."""
     latencies: list[float] = []
     numbers = iter(range(count))
     run_id = time.monotonic_ns()
@@ -76,7 +76,7 @@
 def measure(
     name: str, pid: int, url: str, callers: int, count: int, keyed: bool = False
 ) -> Row:
-    """Drive one hop and return its line."""
+    """Measure one hop and return its row."""
     anyio.run(send_requests, url, callers, WARM_UP_REQUESTS, keyed)
     before = read_cpu_seconds(pid)
     started_at = time.monotonic()
@@ -121,7 +121,7 @@
 def print_rows(
     hops: dict[str, tuple[int, str]], callers: list[int], count: int
 ) -> None:
-    """Measure and print all lines, the ratio to the bare hop last."""
+    """Measure and print all rows, then the ratio to the bare hop."""
     print(f"{'hop':26}{'callers':>8}{'CPU ms':>8}{'p50':>8}{'p99':>8}{'req/s':>8}")
     for number in callers:
         rows = [
--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -1,10 +1,10 @@
-"""Why jobs were late, from the daemons' own log lines.
+"""Causes of late jobs, from the daemons' log lines.
 
 ``python -m benchmarks.losses FILE...`` reads lines that hold a daemon's JSON,
-with or without a prefix, and prints the late jobs and the seconds by which they
-were late for each reason, the largest first. A job has one reason: the first of
-`REASONS` whose mark lies between its acceptance and its end. Jobs that never
-ended, and refused requests, leave no such line and aren't counted.
+with or without a prefix, and prints per reason the number of late jobs and their
+total lateness, the largest first. A job has one reason: the first of `REASONS`
+that held between its acceptance and its end. Jobs that never ended and refused
+requests log no completion and are not counted.
 """
 
 import collections
@@ -19,23 +19,23 @@
 __all__ = ["REASONS", "Loss", "explain", "read_lines", "read_time"]
 
 MIN_WAIT_SECONDS = 0.3
-"""Seconds until a job's first start from which on it counts as having waited: a
-start takes some 30 ms where there is room."""
+"""A job counts as having waited from this time to its first start on: a start
+takes about 30 ms where there is capacity."""
 
 MIN_SPAN_SECONDS = 0.3
-"""Seconds for which a reason must have held: a hand-over takes some 50 ms."""
+"""Shorter spans are ignored: a normal leader hand-over takes about 50 ms."""
 
-STORE_UNREACHABLE = "the leader's store away"
+STORE_UNREACHABLE = "leader's store unreachable"
 NO_LEADER = "pool without a leader"
 VM_LOST = "runs lost with a VM"
-VMS_ARRIVING = "waited while VMs were on their way"
-NO_VM_SENT = "waited and no VM was sent"
-LATER_STEPS = "later steps waited, or ran longer than thought"
+VMS_ARRIVING = "waited while VMs were arriving"
+NO_VM_SENT = "waited and no VM was moved"
+LATER_STEPS = "later steps waited or ran longer than estimated"
 REASONS = (STORE_UNREACHABLE, NO_LEADER, VM_LOST, VMS_ARRIVING, NO_VM_SENT, LATER_STEPS)
 
 
 class Loss(NamedTuple):
-    """One late job: its pool, why, and by how many seconds."""
+    """One late job: its pool, the reason and its lateness."""
 
     pool: str
     reason: str
@@ -51,14 +51,14 @@
 
 
 def read_lines(text: str) -> Iterator[dict[str, Any]]:
-    """Yield the fields of the daemons' lines in a text, others left out."""
+    """Yield the fields of the daemons' lines in a text; skip other lines."""
     for line in story.read_lines(text.splitlines()):
         if line.time:
             yield line.fields
 
 
 def explain(lines: Iterable[dict[str, Any]]) -> list[Loss]:
-    """Return the late jobs of some daemons' lines, each with its reason."""
+    """Return the late jobs in daemons' log lines, each with its reason."""
     collected = list(lines)
     spans_by_reason = _collect_spans(collected)
     waits = {
@@ -99,7 +99,7 @@
 def _collect_spans(
     lines: list[dict[str, Any]],
 ) -> dict[tuple[str, str], list[_Span]]:
-    """Return by reason and pool the spans in which it held."""
+    """Return the time spans in which each reason held, by reason and pool."""
     spans_by_reason: dict[tuple[str, str], list[_Span]] = collections.defaultdict(list)
     leaders: dict[str, str] = {}
     opened_at: dict[tuple[str, str], float] = {}
@@ -139,13 +139,13 @@
 
 
 def read_time(line: dict[str, Any]) -> float:
-    """Return the seconds of the day of a line."""
+    """Return the time of a line in seconds since midnight."""
     hours, minutes, seconds = line["time"].split(" ")[1].replace(",", ".").split(":")
     return 3600 * int(hours) + 60 * int(minutes) + float(seconds)
 
 
 def main(*files: pathlib.Path) -> None:
-    """Print why jobs were late.
+    """Print the reasons for late jobs.
 
     Parameters
     ----------
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,7 +1,7 @@
-"""Bare pass-through hop: hypercorn in, httpx out, nothing decided.
+"""Bare pass-through proxy: hypercorn in, httpx out, without routing decisions.
 
-The baseline for `benchmarks.hop`, run as a process of its own. One client for
-all workers, or with ``--clients`` one per worker.
+The baseline of `benchmarks.hop`, run as a separate process. It uses one client
+for all workers, or with ``--clients`` one per worker.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 
 
 async def serve(port: int, workers: list[str], per_worker: bool) -> None:
-    """Pass requests on to the workers in turn, until cancelled."""
+    """Forward requests to the workers round-robin until cancelled."""
     shared = httpx.AsyncClient(trust_env=False, timeout=60)
     clients = {
         worker: httpx.AsyncClient(trust_env=False, timeout=60) if per_worker else shared
@@ -66,7 +66,7 @@
 
 
 def run() -> None:
-    """Serve as the command line says."""
+    """Parse the command line and serve."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--clients", action="store_true")
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,10 +1,10 @@
-"""Placement against first fit on declared sizes, and the cost of a decision.
+"""Placement compared with first fit on declared sizes, and decision costs.
 
 Run as ``python -m benchmarks.placement [mix|cost|duty|site|all]``. A seeded loop
 drives the real core (`wigeonhitch.placement.core`) with the task scheduler of the
-platform stand-in; commits always succeed. It is no model of a cluster: each
-step of 0.25 s hands the core what it would have read, and takes its commits
-and calls. ``cost``, ``duty`` and ``site`` are in `placement_cost`.
+platform stand-in; commits always succeed. It does not model a cluster: each
+step of 0.25 s passes the core its input and executes its commits and calls.
+``cost``, ``duty`` and ``site`` are in `placement_cost`.
 """
 
 import collections
@@ -17,20 +17,19 @@
 from wigeonhitch.placement import core, view
 from wigeonhitch.platform import table, tasks
 
-# Seconds: of a step, between task lists and renewals, by which the task list
-# lags, and after which a run ends whatever waits.
+# A run ends after the maximum even if jobs are still queued.
 STEP_SECONDS = 0.25
 LIST_PERIOD_SECONDS = 5.0
 RENEW_PERIOD_SECONDS = 15.0
 TASK_LIST_LAG_SECONDS = 3.0
 MAX_SIMULATED_SECONDS = 5400.0
 
-# The worker that fails whatever is started on it.
+# Every task on this worker fails.
 FAULTY_VM = "w7"
 
 
 class Simulation:
-    """One run of a mix under one way of placing."""
+    """One run of a workload under one placement strategy."""
 
     def __init__(
         self,
@@ -48,14 +47,14 @@
         self.ended: list[platformtasks.Execution] = []
 
     def observe_vms(self, now: float) -> list[view.Vm]:
-        """Return the view: one worker drains for 90 s, then reboots for 30 s."""
+        """Return the workers: one at a time drains for 90 s, then reboots for 30 s."""
         cycle, phase = int(now // 120.0), now % 120.0
         maintained_vm = f"w{cycle % placement_workload.WORKER_COUNT}"
         self.live = {vm.vm for vm in self.vms if phase < 90.0 or vm.vm != maintained_vm}
         return [vm._replace(usable=vm.vm != maintained_vm) for vm in self.vms]
 
     def call(self, call: core.calls.Call, now: float) -> table.Outcome:
-        """Carry out a task call."""
+        """Execute a task call."""
         if call.spec is not None:
             refused = self.scheduler.start(call.spec, self.live, now)
         else:
@@ -63,7 +62,7 @@
         return table.Outcome.NOT_DONE if refused else table.Outcome.DONE
 
     def run(self) -> None:
-        """Run until all is done or LIMIT."""
+        """Run until all jobs are done or the maximum time is reached."""
         pending = collections.deque(self.workload.jobs)
         step_count = 0
         now = 0.0
@@ -101,7 +100,7 @@
 
 
 class Result(NamedTuple):
-    """What one run gave; times in seconds, shares between 0 and 1."""
+    """Measures of one run; times in seconds, shares between 0 and 1."""
 
     urgent_p50: float
     urgent_p99: float
@@ -116,7 +115,7 @@
 
 
 def evaluate(simulation: Simulation, seconds: float) -> Result:
-    """Return the outcome of a run."""
+    """Return the measures of a run."""
     first_start: dict[str, float] = {}
     finished: dict[str, platformtasks.Execution] = {}
     useful_core_seconds = busy_core_seconds = 0.0
@@ -174,7 +173,7 @@
 
 
 def compare() -> None:
-    """Print the table of the mix under each way of placing."""
+    """Print the measures of the workload under each placement strategy."""
     strategies = {
         "first fit, declared sizes": placement_strategies.FirstFit,
         "core, no learning, no quarantine": lambda: placement_strategies.CorePlacement(
@@ -198,7 +197,7 @@
         f"lag {TASK_LIST_LAG_SECONDS:g} s, {burst_jobs} jobs cancelled"
     )
     names = " ".join(f"{name:>12}" for name in Result._fields)
-    print(f"{'way':34}{names}")
+    print(f"{'strategy':34}{names}")
     for name, make_strategy in strategies.items():
         simulation = Simulation(
             make_strategy(), placement_workload.build_workload(placement_workload.SEED)
@@ -211,7 +210,7 @@
 
 
 def main() -> None:
-    """Run what the command line names."""
+    """Run the benchmarks that the command line selects."""
     selection = sys.argv[1] if len(sys.argv) > 1 else "all"
     if selection in ("mix", "all"):
         compare()
--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -1,4 +1,4 @@
-"""What placement costs: a decision, one shard's keeper, daemons without jobs.
+"""Cost of placement: decisions, one shard's controller, daemons without jobs.
 
 `measure_site` measures three real daemons that have no jobs.
 """
@@ -35,12 +35,12 @@
 
 EXAMPLE = pathlib.Path(__file__).parents[1] / "examples" / "altiplano.yaml"
 
-# Seconds by which the platform's word on what tasks use lags.
+# Delay of the platform's report of resource usage.
 USAGE_LAG_SECONDS = 3.0
 
 
 def measure_cost() -> None:
-    """Print decisions a second and memory by size of the fleet."""
+    """Print decisions per second and memory by fleet size."""
     print(f"{'workers':>8}{'pools':>6}{'teams':>6}{'jobs':>7}", end="")
     print(f"{'placed/s':>10}{'idle ms':>9}{'MB':>7}{'KB/job':>8}")
     for workers, pools in ((30, 5), (200, 32), (800, 128), (800, 5), (25, 4)):
@@ -100,12 +100,12 @@
     """The lease of the one shard of `measure_duty`."""
 
     def current(self, duty: str) -> lease.Lease:
-        """Return a lease that is always held."""
+        """Return a lease that does not lapse."""
         return lease.Lease(duty, 1, float("inf"))
 
 
 def measure_duty() -> None:
-    """Print what one shard's keeper costs while its jobs run."""
+    """Print the cost of one shard's controller while its jobs run."""
     print(f"{'workers':>8}{'running':>8}{'reads/s':>9}{'writes/s':>9}", end="")
     print(f"{'KB/s':>7}{'core %':>8}{'KB/s table':>11}")
     for workers, count in ((25, 0), (25, 25), (25, 100), (25, 200), (50, 200)):
@@ -203,7 +203,7 @@
 
 
 def measure_site(seconds: float = 30.0) -> None:
-    """Print what placement costs three real daemons that have no jobs."""
+    """Print the cost of placement on three real daemons without jobs."""
     with contextlib.ExitStack() as stack:
         folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         system = site.open_site(stack, folder, process.Ports(), EXAMPLE)
@@ -227,7 +227,7 @@
 def _read_site(
     system: site.Site,
 ) -> tuple[dict[str, tuple[float, int]], dict[str, int]]:
-    """Return processor seconds and placement duties by daemon, and all reads."""
+    """Return processor time and placement duties per daemon, and read counts."""
     held_duties = collections.Counter(
         row.value["holder"] for row in _read_duties(system) if row.value is not None
     )
--- a/benchmarks/placement_strategies.py
+++ b/benchmarks/placement_strategies.py
@@ -1,4 +1,4 @@
-"""Ways of placing jobs: the real core, and first fit on declared sizes."""
+"""Placement strategies: the real core, and first fit on declared sizes."""
 
 import collections
 from typing import Protocol
@@ -10,59 +10,59 @@
 
 __all__ = ["CorePlacement", "FirstFit", "SimulationRun", "Strategy"]
 
-# Seconds of commit and start call, each some round trips of 1 ms and the
-# table's work.
+# Commit plus start call: each takes several round trips of 1 ms and the
+# processing in the table.
 CALL_DELAY_SECONDS = 0.04
 
 
 class SimulationRun(Protocol):
-    """What a way of placing needs of the run that it is measured in."""
+    """Interface of a simulation run to its placement strategy."""
 
     scheduler: platformtasks.Scheduler
     live: set[str]
 
     def observe_vms(self, now: float) -> list[view.Vm]:
-        """Return the workers as they are seen at a time (s)."""
+        """Return the workers as observed at a time in seconds."""
         ...
 
     def call(self, call: core.calls.Call, now: float) -> table.Outcome:
-        """Carry out a task call."""
+        """Execute a task call."""
         ...
 
 
 class Strategy(Protocol):
-    """A way of placing; times in seconds."""
+    """A placement strategy; times in seconds."""
 
     def submit(self, submission: job.Submission, now: float) -> None:
-        """Take a new job."""
+        """Accept a new job."""
         ...
 
     def cancel(self, names: set[str], now: float) -> None:
-        """End jobs, queued or running."""
+        """Cancel queued and running jobs."""
         ...
 
     def step(self, run: SimulationRun, now: float) -> None:
-        """Place what can be placed."""
+        """Place the jobs that fit."""
         ...
 
     def update_tasks(
         self, listed: list[tasks.Task], vms: list[str], now: float
     ) -> None:
-        """Take a task list."""
+        """Process a task list."""
         ...
 
     def renew(self, run: SimulationRun, now: float) -> None:
-        """Renew what runs."""
+        """Renew running tasks."""
         ...
 
     @property
     def live_jobs(self) -> int:
-        """Return the number of live jobs that can run."""
+        """Number of unfinished jobs that can run."""
         ...
 
 
 class CorePlacement:
-    """The real core, as the keeper drives it."""
+    """The real core, driven as its shard controller drives it."""
 
     def __init__(self, estimate_sizes: bool = True, use_quarantine: bool = True):
         estimator = size.SizeEstimator(enabled=estimate_sizes)
@@ -77,13 +77,13 @@
         self.core.update_policy(view.make_policy(self.document))
 
     def submit(self, submission: job.Submission, now: float) -> None:
-        """Hand over a new row."""
+        """Load the row of a new job."""
         self.revision += 1
         new = job.make_job(submission, now)
         self.core.load([table.Row(new.key, job.encode(new), self.revision)])
 
     def cancel(self, names: set[str], now: float) -> None:
-        """Do what the routes do: end queued jobs, mark the others."""
+        """Delete queued jobs and mark the others as cancelled, as the routes do."""
         self.revision += 1
         rows = []
         for name in names & set(self.core.state.jobs):
@@ -96,7 +96,7 @@
         self.core.load(rows)
 
     def step(self, run: SimulationRun, now: float) -> None:
-        """Decide, commit and call; answers come with the next step."""
+        """Decide, commit and call; answers arrive with the next step."""
         for call, outcome in self.answers:
             self.core.record_answer(call, outcome, now)
         self.answers = []
@@ -113,23 +113,23 @@
     def update_tasks(
         self, listed: list[tasks.Task], vms: list[str], now: float
     ) -> None:
-        """Take a task list."""
+        """Process a task list."""
         self.core.update_tasks(listed, vms, now)
 
     def renew(self, run: SimulationRun, now: float) -> None:
-        """Renew what the core wants renewed."""
+        """Renew the tasks that the core lists."""
         names = self.core.find_renewals()
         run.scheduler.renew(names, 1, 60.0, now)
         self.core.record_renewal(names, table.Outcome.DONE, now)
 
     @property
     def live_jobs(self) -> int:
-        """Return the number of live jobs."""
+        """Number of unfinished jobs."""
         return len(self.core.state.jobs)
 
 
 class FirstFit:
-    """Baseline: first worker with room for the declared size, urgent first."""
+    """Baseline: first worker that fits the declared size, urgent jobs first."""
 
     def __init__(self):
         self.queue: dict[str, job.Submission] = {}
@@ -145,13 +145,13 @@
         self.needs_pass = self.needs_pass or submission.urgency == "urgent"
 
     def cancel(self, names: set[str], now: float) -> None:
-        """Drop queued jobs; running ones are stopped with the next step."""
+        """Remove queued jobs; running ones are stopped at the next step."""
         for name in names:
             self.queue.pop(name, None)
         self.stopping = [name for name in names if name in self.running]
 
     def step(self, run: SimulationRun, now: float) -> None:
-        """Place in order of arrival, urgent first, skipping what does not fit."""
+        """Place in order of arrival, urgent first, skipping jobs that do not fit."""
         for name in self.stopping:
             run.scheduler.control(self._task(name), "stop", 1, now)
         self.stopping = []
@@ -202,7 +202,7 @@
     def update_tasks(
         self, listed: list[tasks.Task], vms: list[str], now: float
     ) -> None:
-        """Requeue what failed, up to twenty attempts."""
+        """Requeue failed jobs, up to twenty attempts each."""
         for task in listed:
             name, _ = job.split_task(task.task)
             if name not in self.running or task.state in core.calls.attempt.ALIVE:
@@ -221,6 +221,6 @@
 
     @property
     def live_jobs(self) -> int:
-        """Return the number of live jobs that can run."""
+        """Number of unfinished jobs that can run."""
         huge = [n for n in self.queue if self.queue[n].kind == "huge"]
         return len(self.queue) + len(self.running) - len(huge)
--- a/benchmarks/placement_workload.py
+++ b/benchmarks/placement_workload.py
@@ -1,4 +1,4 @@
-"""The jobs, the workers and the document that placement is measured with."""
+"""Jobs, workers and configuration document of the placement benchmarks."""
 
 import random
 from typing import NamedTuple
@@ -25,24 +25,24 @@
 WORKER_COUNT = 30
 CORES_PER_WORKER, MEMORY_GB_PER_WORKER = 32.0, 64.0
 
-# Seconds in which bulk jobs are to be done.
+# Deadline of bulk jobs.
 BULK_WINDOW_SECONDS = 3600.0
 
 POOL = "batch"
 
-# Seconds at which a wave of jobs comes and is cancelled, and how many they are.
+# A burst of jobs is submitted and later cancelled as a whole.
 BURST_AT_SECONDS, CANCEL_AT_SECONDS, BURST_JOB_COUNT = 600.0, 900.0, 3000
 
 
 class Workload(NamedTuple):
-    """Submissions by time, and what is cancelled at `CANCEL_AT`."""
+    """Submissions by time, and the jobs cancelled at `CANCEL_AT_SECONDS`."""
 
     jobs: list[tuple[float, job.Submission]]
     burst: set[str]
 
 
 def build_workload(seed: int) -> Workload:
-    """Return the seeded mix of jobs."""
+    """Return a seeded mix of urgent, bulk and impossible jobs."""
     rng = random.Random(seed)
     kinds = []
     for _ in range(20):
@@ -111,7 +111,7 @@
 
 
 def make_document(pools: int, teams: int, workers: int) -> document.Document:
-    """Return a document with equal pools."""
+    """Return a document with pools of equal size."""
     names = [POOL] if pools == 1 else [f"pool{number}" for number in range(pools)]
     share = 0.4 if pools == 1 else 1.0
     return document.Document(
@@ -136,7 +136,7 @@
 
 
 def make_vms(fleet_document: document.Document, workers: int) -> list[view.Vm]:
-    """Return the workers, dealt out over the pools."""
+    """Return the workers, assigned to the pools round-robin."""
     pools = [pool.name for pool in fleet_document.pools]
     return [
         view.Vm(
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -1,11 +1,11 @@
 """Claims per table write, processor time per claim, calls by purpose.
 
 Run as ``python -m benchmarks.platform``. First the decisions alone, under a
-clock that the benchmark sets and a table whose answers take a set time: the
-same seeded arrivals are claimed with the records of one moment in one table
-write, and with one record per write. Then three daemons' claims and duties
-against the platform stand-in as a process, over HTTP. Last, under a set clock, the time
-from a holder's death to the next holder's lease.
+simulated clock and a table of fixed latency: the same seeded arrivals are
+claimed with batched table writes and with one record per write. Then claims and
+duties of three daemons against the platform stand-in in a process of its own,
+over HTTP. Last, under a simulated clock, the time from the failure of a duty's
+holder to the next holder's lease.
 """
 
 import contextlib
@@ -31,7 +31,7 @@
     200, (("content-type", "application/json"),), b"x" * 400
 )
 WORK_SECONDS = 0.05
-"""Seconds that a worker takes."""
+"""Time that a worker takes for a request."""
 HTTP_DURATION_SECONDS = 10.0
 DUTY_COUNT = 12
 DAEMON_COUNT = 3
@@ -40,7 +40,7 @@
 
 
 class Result(NamedTuple):
-    """Figures of one run; waits in seconds."""
+    """Measures of one run; waits in seconds."""
 
     requested: int
     granted: int
@@ -51,7 +51,7 @@
 
 
 class ClaimSimulation:
-    """One core, one table, and events in time order."""
+    """One claims core, one table and an event queue."""
 
     def __init__(self, limits: batch.Limits, latency: float, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -65,12 +65,12 @@
         self.table_cpu_seconds = 0.0
 
     def schedule(self, at: float, kind: str, item: object = None) -> None:
-        """Add an event."""
+        """Schedule an event."""
         self.sequence += 1
         heapq.heappush(self.events, (at, self.sequence, kind, item))
 
     def run(self, rate: float) -> Result:
-        """Claim, dispatch and complete at ``rate`` requests a second."""
+        """Claim, dispatch and complete ``rate`` requests per second."""
         at = 0.1
         while at < DURATION_SECONDS:
             self.schedule(at, "ask")
@@ -94,7 +94,7 @@
         )
 
     def handle(self, now: float, kind: str, item: object) -> None:
-        """Give one event to the core."""
+        """Pass one event to the core."""
         if kind == "ask":
             row = record.build_key("s", str(self.rng.random()))
             ticket = self.core.acquire(row, "print", now, now + 2.0)
@@ -107,7 +107,7 @@
             self.core.on_read(table.ReadResult(table.Outcome.DONE, time=now + 1.0), now)
 
     def execute(self, now: float) -> None:
-        """Carry out what the core asks for."""
+        """Execute the actions of the core."""
         for action in self.core.step(now):
             if isinstance(action, batch.Commit):
                 self.commit(action, now)
@@ -121,7 +121,7 @@
             self.schedule(max(wake, now + 1e-6), "wake")
 
     def commit(self, action: batch.Commit, now: float) -> None:
-        """Apply a table write; its answer takes the table's latency."""
+        """Apply a table write; its answer arrives after the table's latency."""
         started_at = time.process_time()
         conflicts = self.store.commit(
             action.conditions, action.writes, "t", now + self.latency
@@ -135,11 +135,11 @@
 
 
 def compare(rate: float, latency: float) -> None:
-    """Print one comparison."""
+    """Print the write policies at one rate and latency."""
     cases = (
-        ("one write a moment", batch.DEFAULT_LIMITS),
-        ("one write a record, same budget", SINGLE_RECORD),
-        ("one write a record, no budget", UNLIMITED_WRITES),
+        ("batched", batch.DEFAULT_LIMITS),
+        ("unbatched, same budget", SINGLE_RECORD),
+        ("unbatched, no budget", UNLIMITED_WRITES),
     )
     for name, limits in cases:
         result = ClaimSimulation(limits, latency, seed=1).run(rate)
@@ -158,7 +158,7 @@
 async def generate_claims(
     claims: store.Claims, rate: float, rng: random.Random
 ) -> None:
-    """Claim and complete ``rate`` new keys a second."""
+    """Claim and complete ``rate`` new keys per second."""
 
     async def claim_key(key: str) -> None:
         acquired = await claims.acquire("s", key, "print", timeout=2.0)
@@ -174,7 +174,7 @@
 
 
 async def run_daemons(address: str, rate: float, limits: batch.Limits) -> None:
-    """Run three daemons' claims and duties; print their calls by purpose."""
+    """Run claims and duties of three daemons; print calls by purpose."""
     async with contextlib.AsyncExitStack() as stack:
         counters_client = await stack.enter_async_context(
             httpx.AsyncClient(base_url=address)
@@ -208,7 +208,7 @@
 def print_call_rates(
     before: dict, after: dict, granted: int, cpu_seconds: float
 ) -> None:
-    """Print calls a second by purpose, and processor time per claim."""
+    """Print calls per second by purpose, and processor time per claim."""
     parts = []
     for kind in ("reads", "writes"):
         for purpose, count in sorted(after[kind].items()):
@@ -223,7 +223,7 @@
 
 @contextlib.contextmanager
 def start_platform():
-    """Run the platform stand-in; gives its address."""
+    """Run the platform stand-in and yield its address."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -245,18 +245,18 @@
     )
     logging.set_verbosity(logging.ERROR)
     for rate, name, limits in (
-        (20, "one write a moment", batch.DEFAULT_LIMITS),
-        (20, "one write a record, no budget", UNLIMITED_WRITES),
-        (60, "one write a moment", batch.DEFAULT_LIMITS),
-        (60, "one write a record, no budget", UNLIMITED_WRITES),
+        (20, "batched", batch.DEFAULT_LIMITS),
+        (20, "unbatched, no budget", UNLIMITED_WRITES),
+        (60, "batched", batch.DEFAULT_LIMITS),
+        (60, "unbatched, no budget", UNLIMITED_WRITES),
     ):
-        print(f"{rate} keyed requests a second and daemon, {name}:")
+        print(f"{rate} keyed requests per second and daemon, {name}:")
         with start_platform() as address:
             anyio.run(run_daemons, address, rate, limits)
 
 
 def step_duties(duties: duty.Duties, rows: platformtable.Store, now: float) -> None:
-    """Let one daemon act on its duties, without delay or loss."""
+    """Run one daemon's duty step without delay or loss."""
     for action in duties.step(now):
         if isinstance(action, duty.FullRead):
             results = [rows.scan(name, action.since) for name in ("daemon/", "duty/")]
@@ -280,7 +280,7 @@
 def make_result(
     rows: platformtable.Store, found_rows: list[table.Row], now: float
 ) -> table.ReadResult:
-    """Return what a reading gives whose clock is a second ahead."""
+    """Return a read result whose store clock is one second ahead."""
     return table.ReadResult(
         table.Outcome.DONE, tuple(found_rows), rows.revision, now + 1.0
     )
@@ -321,8 +321,8 @@
     print("\nNine daemons, one duty, 100 ends of its holder each; seconds.")
     for name, leaves_cleanly in (("holder dies", False), ("holder leaves", True)):
         times = sorted(time_takeover(seed, leaves_cleanly) for seed in range(100))
-        print(f"  {name}: least {times[0]:.1f}, median {times[50]:.1f}, ", end="")
-        print(f"most {times[-1]:.1f}")
+        print(f"  {name}: min {times[0]:.1f}, median {times[50]:.1f}, ", end="")
+        print(f"max {times[-1]:.1f}")
 
 
 def main() -> None:
@@ -334,7 +334,7 @@
         "records encoded.\n"
     )
     print(
-        f"{'req/s':>6} {'ms':>6}  {'way':32s}{'granted':>9}{'writes/s':>10}"
+        f"{'req/s':>6} {'ms':>6}  {'writes':32s}{'granted':>9}{'writes/s':>10}"
         f"{'records':>9}{'p50 ms':>9}{'p99 ms':>9}{'us/req':>9}"
     )
     for rate in (5, 20, 50, 200, 500):
--- a/benchmarks/plot.py
+++ b/benchmarks/plot.py
@@ -1,4 +1,4 @@
-"""Draw the slopes that `benchmarks.slope` and `benchmarks.control` kept.
+"""Plot the figures that `benchmarks.slope` and `benchmarks.control` wrote.
 
 Run ``python -m benchmarks.plot SLOPE.json CONTROL.json FOLDER``.
 """
@@ -13,17 +13,17 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402 - the backend is chosen first
 
-MAX_CONTROL_BYTES_PER_SECOND = 5000.0  # bytes a second for control
-TARGET_DAEMON_COUNT = 220  # daemons
+MAX_CONTROL_BYTES_PER_SECOND = 5000.0  # budget per daemon for all control traffic
+TARGET_DAEMON_COUNT = 220
 
 
 def draw_decisions(costs: dict[str, Any], path: pathlib.Path) -> None:
-    """Draw bytes a second of the decisions over the daemons."""
+    """Plot bytes per second of the decisions by number of daemons."""
     figure, axes = pyplot.subplots(figsize=(6, 3.6), dpi=90)
     labels = {
         "beats": "heartbeats sent",
-        "looks": "duties, holders' rows (taken)",
-        "whole": "duties, all rows each look (before)",
+        "looks": "duties, holders' rows (in use)",
+        "whole": "duties, all rows each read (earlier)",
     }
     for name, label in labels.items():
         sizes = sorted(int(size) for size in costs[name])
@@ -33,13 +33,13 @@
         MAX_CONTROL_BYTES_PER_SECOND,
         color="grey",
         linestyle="--",
-        label="all control may spend",
+        label="budget of all control traffic",
     )
     _save(figure, axes, "daemons", "bytes/s per daemon", path)
 
 
 def draw_daemons(measurements: list[dict[str, Any]], path: pathlib.Path) -> None:
-    """Draw bytes a second of real daemons by part, a bar a run."""
+    """Plot bytes per second of real daemons by part, one bar per run."""
     figure, axes = pyplot.subplots(figsize=(6, 3.6), dpi=90)
     names = [
         f"{measurement['daemons']}\n{measurement['workers']}"
--- a/benchmarks/pool.py
+++ b/benchmarks/pool.py
@@ -1,7 +1,7 @@
 """Time of one round of a pool's leader under a burst, without I/O.
 
-Lays out a pool with lasting tasks and a burst of waiting jobs, as many as five
-times what the pool holds, and makes rounds while runs end and start.
+Builds a pool with lasting tasks and a burst of queued jobs, up to five times the
+capacity of the pool, and runs rounds while task runs end and start.
 
     python -m benchmarks.pool --vms 40 --jobs 150
 """
@@ -22,7 +22,7 @@
 
 
 def build_burst(vms: int, jobs: int) -> tuple[core.Pool, planner.Planner]:
-    """Return a pool with running work and jobs that wait."""
+    """Return a pool with running tasks and queued jobs."""
     time_bounds = view.TimeBounds(6.5, 0.2)
     pool = core.Pool("p", 10, 1, time_bounds, NOW, lambda *_, **__: None)
     pool.on_queues([model.Queue("q", "h", "/q/", "p", objective=0.6, stretch=1.6)])
@@ -44,7 +44,7 @@
 
 
 def measure(vms: int, jobs: int, rounds: int) -> float:
-    """Return the mean milliseconds of a round in which some runs end."""
+    """Return the mean processor time (ms) of a round in which runs end."""
     pool, pool_planner = build_burst(vms, jobs)
     _confirm(pool, pool_planner.plan(NOW, NOW))
     started_at = time.process_time()
@@ -63,9 +63,9 @@
     vms : int
         VMs of the pool.
     jobs : int
-        Jobs that wait at the start.
+        Jobs queued at the start.
     rounds : int
-        Rounds to make.
+        Rounds to run.
     """
     print(f"{vms} VMs, {jobs} jobs: {measure(vms, jobs, rounds):.2f} ms a round")
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,4 +1,4 @@
-"""A relay on loopback that counts what goes to the platform, by purpose."""
+"""Relay on loopback that counts requests and bytes to the platform by purpose."""
 
 import collections
 import socket
@@ -11,14 +11,15 @@
 
 
 class Relay:
-    """Passes connections on to a port and counts requests and bytes.
+    """Forwards connections to a port and counts requests and bytes.
 
     Attributes
     ----------
     port : int
-        Where it listens.
-    requests, sizes : collections.Counter
-        Requests, and bytes both ways with headers, by purpose and path.
+        Port that it listens on.
+    requests, byte_counts : collections.Counter
+        Requests, and bytes in both directions including headers, by purpose and
+        path.
     """
 
     def __init__(self, target: int) -> None:
@@ -68,7 +69,7 @@
 
 
 def _read_label(data: bytes) -> str:
-    """Return ``purpose path`` of a request's head."""
+    """Return ``purpose path`` of a request from its header."""
     head = data.partition(b"\r\n\r\n")[0].decode("latin-1")
     request_line, *lines = head.split("\r\n")
     path = request_line.split(" ")[1].split("/")[1:3]
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -1,7 +1,7 @@
-"""Cost of one round of the fleet's runner, by size of the fleet.
+"""Cost of one round of the fleet runner by fleet size.
 
-Processor time of the decisions, memory of rows and VM list, and reads and
-commits of the real runner against the fake platform. Run it as
+Measures processor time of the decisions, memory of rows and VM list, and reads
+and commits of the real runner against the fake platform. Run it as
 ``python -m benchmarks.rounds``.
 """
 
@@ -22,7 +22,7 @@
 
 
 def measure_cost() -> None:
-    """Print processor time of a round and memory of the view, by size."""
+    """Print processor time of a round and memory of the view by size."""
     print("\ncost: processor time of a round, memory of rows and list")
     fleet.print_row(("VMs", "pools", "ms/round", "KB", "KB/VM"), (6, 6, 9, 8, 6))
     for pools in (32, 64, 128):
@@ -40,7 +40,7 @@
 
 
 def measure_waves() -> None:
-    """Print processor time of the decisions at 800 VMs, by running waves."""
+    """Print processor time of a round at 800 VMs by number of running waves."""
     print("\n800 VMs, 128 pools: processor time of a round by running waves")
     fleet.print_row(("waves", "ms/round"), (6, 9))
     layout = fleet.Layout("", (5,) * 96 + (6,) * 32, 1, 0)
@@ -74,10 +74,10 @@
 
 
 class PermanentLeases:
-    """Leases of a daemon that holds every duty."""
+    """Leases of a daemon that always holds every duty."""
 
     def current(self, duty: str) -> lease.Lease:
-        """Return a lease on the version of the duty's row."""
+        """Return a lease that does not lapse."""
         return lease.Lease(duty, 1, 1e12)
 
 
@@ -96,7 +96,7 @@
 
 
 async def measure_reads() -> None:
-    """Print what rounds of the real runner cost against the fake platform."""
+    """Print reads, commits and time per round of the real runner."""
     print("\nrounds of the runner: reads, commits, ms of processor time (with fake)")
     widths = (6, 22, 6, 8, 7)
     fleet.print_row(("VMs", "round", "reads", "commits", "ms"), widths)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,4 +1,4 @@
-"""Waits, refusals and messages of the ways to count slots, and decision times.
+"""Waits, refusals and messages of the slot-counting policies; decision times.
 
 Run as ``python -m benchmarks.routing`` for the tables of waits, or with
 ``--decisions`` for the time and memory of the decisions alone.
@@ -9,7 +9,7 @@
 from benchmarks import routing_decisions, routing_loop, routing_waits
 from wigeonhitch.routing import action, event, link
 
-# Seconds of arrivals of each run.
+# Length of the arrivals of each run.
 DURATION_SECONDS = 20.0
 
 TOTAL_SLOTS = 48
@@ -18,8 +18,8 @@
 
 
 def compare_waits() -> None:
-    """Print waits of each policy beside the one-queue bound."""
-    print("p99 wait (ms), mean of seeds; bound+2: slots empty for two ways a request")
+    """Print waits of each policy and the bound of one ideal queue."""
+    print("p99 wait (ms), mean of seeds; bound+2: slots idle for two hops per request")
     print("load  case    policy       wait  bound bound+2  refused/req msgs/req B/req")
     for load in (0.7, 0.9):
         for case in ("even", "slow", "skew"):
@@ -72,8 +72,8 @@
 
 
 def compare_faults() -> None:
-    """Print waits while the counting daemon is lost, for 5 s from 5 s on."""
-    print("\np99 wait (ms) at 90% of requests that arrive in the 5 s of a fault")
+    """Print waits while the pool owner is lost from 5 s to 10 s."""
+    print("\np99 wait (ms) at 90% of requests that arrive during a fault of 5 s")
     print("fault       policy      " + "".join(f"  seed {seed}" for seed in SEEDS))
     owner, local_counts = link.Policy.OWNER, link.Policy.LOCAL_COUNTS
     for fault, policy in (
@@ -113,7 +113,7 @@
 
 
 def compare_overload() -> None:
-    """Print what callers get at half and twice the capacity."""
+    """Print goodput and latencies at half and twice the capacity."""
     print(
         "\none fifth urgent (2 s), the rest bulk (5 s); goodput: in time, per capacity"
     )
@@ -159,7 +159,7 @@
 
 
 def main() -> None:
-    """Print the tables that the arguments ask for."""
+    """Print the tables that the arguments select."""
     if "--decisions" in sys.argv[1:]:
         routing_decisions.compare_sizes()
         return
--- a/benchmarks/routing_decisions.py
+++ b/benchmarks/routing_decisions.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of the routing decisions, by size of the fleet."""
+"""Processor time and memory of the routing decisions by fleet size."""
 
 import time
 import tracemalloc
@@ -13,8 +13,8 @@
 
 __all__ = ["compare_connections", "compare_sizes", "count_bytes"]
 
-# Workers, pools, daemons: today, a quarter, the target, and three off the line
-# so that the slopes can be told apart.
+# Workers, pools, daemons: the present fleet, a quarter of the target, the target,
+# and three other ratios so that the fit can separate the slopes.
 FLEET_SIZES = (
     (30, 5, 9),
     (200, 32, 60),
@@ -28,7 +28,7 @@
 
 
 def count_bytes(message: Any) -> int:
-    """Return the bytes of a message as a thrift compact struct."""
+    """Return the size of a message as a thrift compact struct."""
     buffer = TTransport.TMemoryBuffer()
     _write(TCompactProtocol.TCompactProtocol(buffer), message)
     return len(buffer.getvalue())
@@ -57,7 +57,7 @@
 
 
 def compare_connections() -> None:
-    """Print the connections to a worker that all daemons may open at most."""
+    """Print the limit of connections to one worker over all daemons."""
     print("\nconnections to one worker of 60, over all daemons")
     print("daemons  kept idle  with slots in use  by own counts")
     for daemons in (9, 60, 220):
@@ -77,7 +77,7 @@
 
 
 def compare_sizes() -> None:
-    """Print times per decision at several sizes, slopes, and memory."""
+    """Print time per decision, fitted slopes and memory by fleet size."""
     print("microseconds of processor time per decision")
     print("workers pools daemons  arrive  grant answer |  ask return | KB/pool")
     rows = []
@@ -108,7 +108,7 @@
 
 
 def _measure_client(workers: int, pools: int, daemons: int) -> list[float]:
-    """Return times of an arrival, a grant and an answer, over all pools."""
+    """Return the mean times of an arrival, a grant and an answer."""
     members = [f"d{n}" for n in range(daemons)]
     client = _build_core("d0", workers, pools, daemons)
     remote = {
@@ -144,7 +144,7 @@
 
 
 def _measure_owner(workers: int, pools: int, daemons: int) -> list[float]:
-    """Return times of an ask and a return, with the pool's slots half used."""
+    """Return the mean times of an ask and a return at half-used slots."""
     owner = _build_core("d0", workers, pools, daemons)
     others = [f"d{n}" for n in range(1, daemons)]
     for other in others:
@@ -172,7 +172,7 @@
 
 
 def _measure_memory(workers: int, pools: int, daemons: int) -> float:
-    """Return KB per pool of a daemon that uses and counts every pool."""
+    """Return KB per pool of a daemon that is client and owner of all pools."""
     tracemalloc.start()
     bytes_before = tracemalloc.get_traced_memory()[0]
     routing_core = _build_core("d0", workers, pools, daemons)
@@ -188,7 +188,7 @@
 
 
 def _fit(points: list[tuple[float, float, float]]) -> list[float]:
-    """Return a, b, c of least squares for z = a + b·x + c·y."""
+    """Return the least-squares fit a, b, c of z = a + b·x + c·y."""
     rows = [[1.0, x, y, z] for x, y, z in points]
     table = [[sum(row[i] * row[j] for row in rows) for j in range(4)] for i in range(3)]
     for i in range(3):
--- a/benchmarks/routing_loop.py
+++ b/benchmarks/routing_loop.py
@@ -1,8 +1,8 @@
-"""A seeded event loop that drives the routing cores of several daemons.
+"""Seeded event loop that drives the routing cores of several daemons.
 
-It delays messages, runs requests in the slots of workers, and refuses when a
-worker is full; nothing else of a cluster is imitated. The decisions are those
-of `wigeonhitch.routing`.
+It delays messages, runs requests in the slots of workers, and refuses requests
+when a worker is full; nothing else of a cluster is simulated. The decisions are
+those of `wigeonhitch.routing`.
 """
 
 import collections
@@ -16,14 +16,14 @@
 
 __all__ = ["HOP_SECONDS", "CompletedRequest", "EventLoop", "Worker", "draw_work"]
 
-# Seconds one way between any two processes.
+# One-way network delay between any two processes.
 HOP_SECONDS = 0.001
 
 POOL = "lookup"
 
 
 class CompletedRequest(NamedTuple):
-    """The final answer of one request, and when its work began (None: never)."""
+    """A request's final answer and the start of its work (None: never)."""
 
     arrived_at: float
     answered_at: float
@@ -34,7 +34,7 @@
 
     @property
     def wait(self) -> float:
-        """Seconds between arrival and the start of work, less the one way."""
+        """Seconds from arrival to the start of work, less the one-way delay."""
         return self.started_at - self.arrived_at - HOP_SECONDS
 
 
@@ -57,9 +57,10 @@
     Parameters
     ----------
     daemons, workers : int
-        How many.
+        Number of daemons and of workers.
     seed : int
     policy : link.Policy
+        How slots are counted.
     """
 
     def __init__(
@@ -93,10 +94,10 @@
         self.set_members(self.names)
         self.set_view(1)
 
-    # The world around the daemons.
+    # Environment of the daemons.
 
     def call_at(self, at: float, callback: Callable, *args: Any) -> None:
-        """Call ``do`` at a time."""
+        """Schedule a callback at a time."""
         self._sequence += 1
         heapq.heappush(self._heap, (at, self._sequence, callback, args))
 
@@ -108,7 +109,7 @@
         self.now = until
 
     def set_members(self, members: list[str]) -> None:
-        """Let all living daemons see these members."""
+        """Set the members that all live daemons see."""
         for name in self.cores:
             self.deliver(name, event.MembersChanged(frozenset(members)))
 
@@ -118,7 +119,7 @@
         draining: tuple[str, ...] = (),
         names: list[str] | None = None,
     ) -> None:
-        """Let daemons (all unless named) see the workers."""
+        """Set the workers that the named daemons, by default all, see."""
         view = tuple(
             event.Worker(worker.vm, worker.slots, usable=worker.vm not in draining)
             for worker in self.workers.values()
@@ -135,7 +136,7 @@
         team: str = "clerks",
         idempotent: bool = False,
     ) -> int:
-        """Let a request arrive at a daemon now; returns its number."""
+        """Submit a request to a daemon now and return its number."""
         number = len(self._arrivals) + 1
         arrival = event.Arrived(
             number, "s", POOL, urgency, team, self.now + timeout, idempotent
@@ -154,7 +155,7 @@
         work: Callable[[random.Random], float] | None = None,
         **options: Any,
     ) -> None:
-        """Let requests arrive at random, ``rate`` a second, over the daemons."""
+        """Submit requests as a Poisson process of ``rate`` per second."""
         work = work or draw_work
         rng = random.Random(self.rng.random())
 
@@ -179,30 +180,30 @@
         return self._work_seconds[number]
 
     def list_arrivals(self) -> list[tuple[float, float]]:
-        """Return time and work of each request, in order."""
+        """Return arrival time and work of each request, in order."""
         return [(at, self._work_seconds[n]) for n, (_, at, _) in self._arrivals.items()]
 
     def kill(self, daemon: str) -> None:
-        """End a daemon; callers of its requests get nothing."""
+        """Kill a daemon; its callers receive no answer."""
         self.killed.add(daemon)
 
     def pause(self, daemon: str) -> None:
-        """Stop a daemon; what is meant for it waits."""
+        """Pause a daemon; its events are queued."""
         self.paused[daemon] = []
 
     def resume(self, daemon: str) -> None:
-        """Let a daemon go on."""
+        """Resume a paused daemon."""
         for waiting in self.paused.pop(daemon):
             self.deliver(daemon, waiting)
 
     def find_owner(self) -> str:
-        """Return the daemon that counts the slots."""
+        """Return the daemon that owns the pool and counts its slots."""
         return rendezvous.rank(POOL, self.names)[0]
 
     # Daemons.
 
     def deliver(self, daemon: str, incoming: event.Event) -> None:
-        """Give an event to a daemon and do what it says."""
+        """Deliver an event to a daemon and execute its actions."""
         if daemon in self.killed:
             return
         if daemon in self.paused:
@@ -265,7 +266,7 @@
         result: verdict.Verdict,
         failed: bool,
     ) -> None:
-        """End an attempt once, by answer, timeout or abort."""
+        """End an attempt once, by answer, time-out or abort."""
         open_attempt = self._open_attempts.pop((daemon, send.attempt), None)
         if open_attempt is not None:
             seconds = self.now - open_attempt[1]
@@ -277,7 +278,7 @@
     # Workers.
 
     def _abort(self, daemon: str, attempt: int, result: verdict.Verdict) -> None:
-        """Close the connection of an attempt; the worker stops, unless frozen."""
+        """Close an attempt's connection; the worker stops it unless frozen."""
         open_attempt = self._open_attempts.get((daemon, attempt))
         if open_attempt is None:
             return
@@ -337,5 +338,5 @@
 
 
 def draw_work(rng: random.Random) -> float:
-    """Draw seconds of work: mean 0.05, one in ten eleven times as long."""
+    """Draw seconds of work: mean 0.05; one in ten is eleven times as long."""
     return 0.275 if rng.random() < 0.1 else 0.025
--- a/benchmarks/routing_waits.py
+++ b/benchmarks/routing_waits.py
@@ -1,4 +1,4 @@
-"""What waits are measured by: quantiles, and the waits of one ideal queue."""
+"""Quantiles, and the waits of one ideal queue as a lower bound."""
 
 import heapq
 
@@ -6,7 +6,7 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile; 0 of nothing."""
+    """Return a quantile, or 0 for no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -19,19 +19,19 @@
     turnaround: float,
     slots: int,
 ) -> list[float]:
-    """Return the waits of one queue that sees every slot, without delays.
+    """Return the waits of one queue over all slots without message delays.
 
     Parameters
     ----------
     arrivals : list of (float, float)
         Time and work of each request, in order.
     factors : list of float
-        How many times slower each worker is.
+        Slowdown of each worker.
     turnaround : float
-        Seconds that a slot is idle between two requests: 0 for the plain
-        bound, two ways for workers that hold no queue of their own.
+        Seconds that a slot is idle between two requests: 0 for the ideal
+        bound, two one-way delays for workers without a queue of their own.
     slots : int
-        Of each worker.
+        Slots of each worker.
     """
     free = [(0.0, factor) for factor in factors for _ in range(slots)]
     heapq.heapify(free)
--- a/benchmarks/slope.py
+++ b/benchmarks/slope.py
@@ -1,11 +1,11 @@
-"""Slopes of the control decisions over the number of daemons, without I/O.
+"""Cost of the control decisions by number of daemons, without I/O.
 
-Runs the membership and duty decisions of a whole system in one process on a
-set clock, at five sizes up to the target's 220 daemons. Bytes are those of the
-encoded heartbeats and of the rows as the platform answers them in JSON, without
-TCP and HTTP headers; processor time is that of one daemon's decisions alone.
+Runs the membership and duty decisions of a whole system in one process under a
+simulated clock, at five sizes up to the target of 220 daemons. Bytes are those of
+encoded heartbeats and of rows in the platform's JSON answers, without TCP and
+HTTP headers; processor time is that of one daemon's decisions alone.
 
-Run ``python -m benchmarks.slope``; ``--json FILE`` keeps the figures.
+Run ``python -m benchmarks.slope``; ``--json FILE`` writes the figures.
 """
 
 import argparse
@@ -22,8 +22,8 @@
 from wigeonhitch.wire import codec
 
 DAEMON_COUNTS = (9, 30, 60, 120, 220)
-HEARTBEAT_SECONDS = 30  # of set time, after as long for start-up
-DUTY_SECONDS = 110  # two readings of all rows at 220 daemons; after as long
+HEARTBEAT_SECONDS = 30  # simulated time, after a start-up phase of the same length
+DUTY_SECONDS = 110  # two full reads at 220 daemons, after as long a start-up
 REGISTRY = codec.Registry({"heartbeat": message.Heartbeat})
 DUTIES = (
     "fleet",
@@ -33,7 +33,7 @@
 
 
 class HeartbeatSimulation:
-    """Heartbeats of a whole system, and what they cost."""
+    """Heartbeats of a whole system and their cost."""
 
     def __init__(self, count: int) -> None:
         peers = [
@@ -54,7 +54,7 @@
         self.cpu_seconds = 0.0
 
     def run(self, now: float) -> None:
-        """Let one period pass."""
+        """Run one heartbeat period."""
         for member in self.members:
             started_at = time.process_time()
             actions = member.tick(now)
@@ -76,7 +76,7 @@
 
 
 class CountingTable:
-    """The platform's table for `benchmarks.platform.step_duties`, counted."""
+    """Table for `benchmarks.platform.step_duties` that counts its use."""
 
     def __init__(self) -> None:
         self.rows = platformtable.Store()
@@ -92,11 +92,11 @@
         return self._count(self.rows.scan(prefix, since))
 
     def read(self, keys: list[str]) -> list[table.Row]:
-        """Count a read; one without keys isn't sent."""
+        """Count a read; a read without keys is not sent."""
         return self._count(self.rows.read(keys)) if keys else []
 
     def commit(self, conditions: Any, writes: Any, token: str, now: float) -> Any:
-        """Count a commit of a daemon's row, with the fields of a real one."""
+        """Count a commit; daemon rows get the fields of real ones."""
         self.writes += 1
         fields = {
             "address": "10.0.12.7:7000",
@@ -145,7 +145,7 @@
 
 
 def measure_duties(count: int, read_interval: float) -> dict[str, float]:
-    """Return what one daemon reads and spends for all duties a second."""
+    """Return reads, bytes and time per daemon and second for all duties."""
     rows = CountingTable()
     limits = duty.Limits(read_interval_per_daemon=read_interval)
     daemons = [duty.Duties(f"entry-{number:03}-a", limits) for number in range(count)]
@@ -171,7 +171,7 @@
 
 
 def measure_claims(daemons: int, rate: float) -> tuple[platform.Result, float]:
-    """Return one daemon's claims at its share, and its table writes a second."""
+    """Return one daemon's claims at its share, and its writes per second."""
     simulation = platform.ClaimSimulation(platform.batch.DEFAULT_LIMITS, 0.002, 1)
     simulation.core.budget.set_daemon_count(daemons)
     result = simulation.run(rate)
@@ -179,14 +179,14 @@
 
 
 def print_claims() -> None:
-    """Print waits of granted claims at the shares of several systems."""
+    """Print waits of granted claims at the budget shares of several sizes."""
     print(
         f"\nClaims of one daemon at its share, {platform.DURATION_SECONDS:.0f} s, ",
         end="",
     )
     print("answers of the table after 2 ms; waits before work, ms")
     print(f"{'daemons':>8}{'keyed/s':>9}{'granted':>9}{'p50':>7}{'p99':>7}", end="")
-    print(f"{'most':>7}{'writes/s':>10}{'all daemons':>13}")
+    print(f"{'max':>7}{'writes/s':>10}{'all daemons':>13}")
     for count in (9, *DAEMON_COUNTS[2:]):
         for rate in (0.5, 2.0, 10.0, 50.0):
             result, writes = measure_claims(count, rate)
@@ -216,7 +216,7 @@
     print(f"{'writes':>8}{'us':>8}  (us with the stand-in table)")
     for count in DAEMON_COUNTS:
         for name, label, read_interval in (
-            ("whole", "all each look", 0.0),
+            ("whole", "all each read", 0.0),
             ("looks", "holders", duty.DEFAULT_LIMITS.read_interval_per_daemon),
         ):
             cost = results[name][count] = measure_duties(count, read_interval)
--- a/benchmarks/tests/test_day.py
+++ b/benchmarks/tests/test_day.py
@@ -1,4 +1,4 @@
-"""A day's VMs and late jobs, from daemons' lines."""
+"""VMs and late jobs of a day, collected from daemons' log lines."""
 
 from benchmarks import day
 
@@ -7,7 +7,7 @@
     return {"time": f"2026-01-31 10:00:{seconds:06.3f}", "change": change, **fields}
 
 
-def test_a_day_counts_jobs_by_their_acceptance_and_vms_by_pool(tmp_path):
+def test_collect_bins_jobs_by_acceptance_time_and_counts_vms_by_pool(tmp_path):
     lines = [
         build_line(12.0, "VM gone", pool="p", vm="b"),
         build_line(10.5, "VM joined", pool="p", vm="a"),
--- a/benchmarks/tests/test_losses.py
+++ b/benchmarks/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Reasons of lateness, from daemons' lines as they write them."""
+"""Reasons for late jobs, from daemons' log lines."""
 
 import json
 
@@ -55,7 +55,7 @@
         ),
     ],
 )
-def test_a_late_job_has_the_reason_that_held_meanwhile(lines, reason):
+def test_late_job_gets_the_reason_that_held_while_it_was_open(lines, reason):
     text = "\n".join([CLAIM, *lines, format_late_completion()])
 
     (loss,) = losses.explain(losses.read_lines(text))
@@ -63,7 +63,7 @@
     assert loss == losses.Loss("p", reason, 1.5)
 
 
-def test_jobs_in_time_and_other_text_are_left_out():
+def test_jobs_in_time_and_other_text_are_ignored():
     text = "\n".join(
         ["a table {of figures}", CLAIM, format_late_completion(took=2.0), "{"]
     )
@@ -71,7 +71,7 @@
     assert losses.explain(losses.read_lines(text)) == []
 
 
-def test_what_held_before_the_job_or_for_another_pool_is_no_reason():
+def test_reason_before_the_job_or_in_another_pool_does_not_count():
     lines = [
         format_line(2.0, "leases lapsed"),
         format_line(18.0, "leases lapsed", pool="other"),
--- a/examples/library/reporter.py
+++ b/examples/library/reporter.py
@@ -1,8 +1,8 @@
-"""A program of its own that embeds two coordination parts of wigeonhitch.
+"""Stand-alone program that embeds two coordination parts of wigeonhitch.
 
 Several copies of a reporter run. The one that holds the duty ``reports``
-dispatches reports, and each report is claimed first, so that it goes out at
-most once whichever copy dies or is paused. It uses no daemon: only
+dispatches reports. Each report is claimed first, so that it is sent at most once
+even if a copy dies or is paused. The program uses no daemon, only
 `wigeonhitch.membership.holder` (duty leases with fencing) and
 `wigeonhitch.idempotency.store` (claims), on any `table.Table` and
 `table.ObjectStore`. Run it as ``python examples/library/reporter.py``.
@@ -25,8 +25,8 @@
 DUTY = "reports"
 PROGRESS = "reports/progress"
 
-# Seconds. Real programs keep the defaults of `duty.Limits`; these are short so
-# that the example ends soon.
+# Shorter than the defaults of `duty.Limits`, which real programs keep, so that
+# the example ends soon.
 LIMITS = duty.Limits(lease=0.6, margin=0.1, rank_delay=0.02, min_renewal_interval=0.02)
 CLAIM_TIMEOUT_SECONDS = 2.0
 TICK_SECONDS = 0.01
@@ -36,15 +36,15 @@
 
 
 class Outlet(Protocol):
-    """Where reports go; supplied by the program."""
+    """Destination of reports, supplied by the program."""
 
     async def send(self, name: str) -> bytes | None:
-        """Dispatch a report; None when its fate is unknown."""
+        """Send a report and return its receipt; None if the outcome is unknown."""
         ...
 
 
 class Sent(enum.Enum):
-    """What became of one report in this round."""
+    """Result of one report in this round."""
 
     NOW = "sent"
     BEFORE = "was sent before"
@@ -58,12 +58,13 @@
     Parameters
     ----------
     leases : lease.Leases
-        The duties of this process.
+        Duty leases of this process.
     claims : store.Claims
-        Its claims; their task must run.
+        Claims of this process; their task must be running.
     rows : table.Table
-        Where progress is written.
+        Table that progress is written to.
     outlet : Outlet
+        Destination of the reports.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
         self._outlet = outlet
 
     async def dispatch(self, names: Sequence[str]) -> dict[str, Sent] | None:
-        """Dispatch what was not yet; None without the duty."""
+        """Dispatch reports that were not sent yet; None without the duty."""
         if self._leases.current(DUTY) is None:
             return None
         results = {name: await self._dispatch_one(name) for name in names}
@@ -99,8 +100,8 @@
                 and acquired.caller_verdict.is_retriable
             )
             return Sent.NOT_SENT if is_retriable else Sent.UNKNOWN
-        # Asked right before the step that can't be taken back: the process may
-        # have been paused since the claim.
+        # Checked right before the irreversible step: the process may have been
+        # paused since the claim.
         if self._leases.current(DUTY) is None or not self._claims.may_send(
             acquired.claim
         ):
@@ -116,10 +117,10 @@
     async def write_progress(
         self, held_lease: lease.Lease, count: int
     ) -> table.CommitResult:
-        """Write progress under the fence of a lease.
+        """Write progress, fenced by a lease.
 
-        A holder that was replaced fails at ``held.condition``, however long it
-        was paused and whatever it believes.
+        The write of a replaced holder fails at the lease's ``condition``, however
+        long the holder was paused.
         """
         return await self._rows.commit(
             [held_lease.condition],
@@ -129,7 +130,7 @@
 
 
 class Printer:
-    """An outlet that prints, and remembers what truly went out."""
+    """Outlet that prints reports and records those it sent."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
@@ -142,7 +143,7 @@
 
 
 class Demonstration(NamedTuple):
-    """What the demonstration saw."""
+    """Results of the demonstration."""
 
     first: dict[str, Sent] | None
     second: dict[str, Sent] | None
@@ -151,7 +152,7 @@
 
 
 async def demonstrate() -> Demonstration:
-    """Let one copy dispatch, be cut off and be replaced by another."""
+    """Run one copy, cut it off and let another copy replace it."""
     platform = fake.Fake(suspends=True)
     outlet = Printer()
     async with anyio.create_task_group() as tasks:
@@ -199,7 +200,7 @@
 
 
 def main() -> Demonstration:
-    """Run the demonstration and print what it shows."""
+    """Run the demonstration and print its results."""
     demonstration = anyio.run(demonstrate)
     for title, results in (
         ("copy-1", demonstration.first),
