--- a/wigeonhitch/placement/state.py
+++ b/wigeonhitch/placement/state.py
@@ -155,7 +155,9 @@
         if (new.attempt, new.vm) != (old.attempt, old.vm) and (
             new.attempt != old.attempt or old.state is QUEUED
         ):
-            entry.reset(unsure=new.state in job.HOLDING and new.fence != self.fence)
+            entry.reset(
+                start_unconfirmed=new.state in job.HOLDING and new.fence != self.fence
+            )
         self._index(new)
 
     def _index(self, item: job.Job) -> None:
@@ -208,8 +210,8 @@
             for name in self.on_vm.get(vm, ()):
                 entry = self.jobs[name]
                 if entry.job.holds and entry.is_alive:
-                    cores += max(0.0, entry.seen.used_cores - entry.job.cores)
-                    memory += max(0.0, entry.seen.used_memory - entry.job.memory)
+                    cores += max(0.0, entry.listed.used_cores - entry.job.cores)
+                    memory += max(0.0, entry.listed.used_memory - entry.job.memory)
             self.overrun[vm] = (cores, memory)
 
     def free_capacity(self, vm: str) -> tuple[float, float]:
@@ -230,8 +232,8 @@
         ``floor``.
         """
         asked = item.asked
-        family = asked.sizing_key
-        cores, memory = self.estimator.estimate(family, asked.cores, asked.memory)
+        sizing_key = asked.sizing_key
+        cores, memory = self.estimator.estimate(sizing_key, asked.cores, asked.memory)
         cores = max(cores, MIN_SIZE[0])
         memory = max(memory, item.floor, MIN_SIZE[1])
         limits = self.max_size(item)
