--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -1,8 +1,8 @@
-"""Draw one day of a site before and after a change, from daemons' log lines.
+"""Plot one day of a site before and after a change, from daemons' log lines.
 
-``python -m benchmarks.day BEFORE AFTER IMAGE`` draws, for each of two files of
-lines, the VMs of each pool and how many jobs were accepted and how many of them
-came late, by half seconds of their acceptance.
+``python -m benchmarks.day BEFORE AFTER IMAGE`` plots for each of two log files
+the VMs of each pool, and the accepted and late jobs in bins of half a second by
+acceptance time.
 """
 
 import collections
@@ -20,57 +20,65 @@
 
 __all__ = ["Day", "collect", "draw"]
 
-STEP = 0.5
-"""Seconds that are drawn as one."""
+BIN_SECONDS = 0.5
+"""Width of a bin of the job histogram."""
 
 
 class Day(NamedTuple):
-    """What is drawn; times in seconds from the first job's acceptance."""
+    """Plotted series; times in seconds since the first job was accepted."""
 
     vms: dict[str, list[tuple[float, int]]]
-    """By pool, the VMs known to its leader at each change."""
+    """Per pool, the VMs known to its leader after each change."""
     jobs: dict[float, int]
-    """Jobs by the half second of their acceptance."""
+    """Completed jobs per bin of acceptance time."""
     late: dict[float, int]
-    """Those of them that came late."""
+    """Jobs per bin that took longer than their objective."""
 
 
 def collect(lines: Iterable[dict[str, Any]]) -> Day:
-    """Return what is drawn of some daemons' lines, in the order of time."""
-    found = sorted(lines, key=losses.read_time)
-    ends = [one for one in found if one["change"] == "job complete"]
-    first = min((_find_accepted(one) for one in ends), default=0.0)
+    """Build the plotted series from daemons' log lines."""
+    ordered = sorted(lines, key=losses.read_time)
+    completions = [line for line in ordered if line["change"] == "job complete"]
+    first_accepted_at = min(
+        (_compute_accepted_at(line) for line in completions), default=0.0
+    )
     jobs: collections.Counter[float] = collections.Counter()
     late: collections.Counter[float] = collections.Counter()
-    for one in ends:
-        step = (_find_accepted(one) - first) // STEP * STEP
-        jobs[step] += 1
-        late[step] += one["took"] > one["objective"]
-    return Day(_count_vms(found, first), dict(jobs), dict(late))
+    for line in completions:
+        bin_start = (
+            (_compute_accepted_at(line) - first_accepted_at)
+            // BIN_SECONDS
+            * BIN_SECONDS
+        )
+        jobs[bin_start] += 1
+        late[bin_start] += line["took"] > line["objective"]
+    return Day(_count_vms(ordered, first_accepted_at), dict(jobs), dict(late))
 
 
 def _count_vms(
-    found: list[dict[str, Any]], first: float
+    lines: list[dict[str, Any]], first_accepted_at: float
 ) -> dict[str, list[tuple[float, int]]]:
-    """Count by pool the VMs that joined and haven't gone."""
-    known: dict[str, set[str]] = collections.defaultdict(set)
+    """Return per pool the number of VMs after each join or departure."""
+    known_vms: dict[str, set[str]] = collections.defaultdict(set)
     series: dict[str, list[tuple[float, int]]] = collections.defaultdict(list)
-    for one in found:
-        if one["change"] not in ("VM joined", "VM gone"):
+    for line in lines:
+        if line["change"] not in ("VM joined", "VM gone"):
             continue
-        pool = one["pool"]
-        change = set.add if one["change"] == "VM joined" else set.discard
-        change(known[pool], one["vm"])
-        series[pool].append((losses.read_time(one) - first, len(known[pool])))
+        pool = line["pool"]
+        update = set.add if line["change"] == "VM joined" else set.discard
+        update(known_vms[pool], line["vm"])
+        series[pool].append(
+            (losses.read_time(line) - first_accepted_at, len(known_vms[pool]))
+        )
     return dict(series)
 
 
-def _find_accepted(line: dict[str, Any]) -> float:
+def _compute_accepted_at(line: dict[str, Any]) -> float:
     return losses.read_time(line) - line["took"]
 
 
 def draw(days: dict[str, Day], path: pathlib.Path) -> None:
-    """Draw days below each other, by their titles."""
+    """Plot days below each other under their titles and save the image."""
     figure, rows = pyplot.subplots(
         2 * len(days), 1, figsize=(9, 4 * len(days)), dpi=90, sharex=True
     )
@@ -93,22 +101,26 @@
 
 
 def _draw_jobs(axes: Any, day: Day) -> None:
-    axes.bar(day.jobs.keys(), day.jobs.values(), STEP, align="edge", color="silver")
-    axes.bar(day.late.keys(), day.late.values(), STEP, align="edge", color="firebrick")
-    axes.set_ylabel("jobs, late ones red")
+    axes.bar(
+        day.jobs.keys(), day.jobs.values(), BIN_SECONDS, align="edge", color="silver"
+    )
+    axes.bar(
+        day.late.keys(), day.late.values(), BIN_SECONDS, align="edge", color="firebrick"
+    )
+    axes.set_ylabel("jobs (late: red)")
 
 
 def main(before: pathlib.Path, after: pathlib.Path, image: pathlib.Path) -> None:
-    """Draw a day before and after a change.
+    """Plot a day before and after a change.
 
     Parameters
     ----------
     before : pathlib.Path
-        Daemons' output of the day before.
+        Daemons' output of the day before the change.
     after : pathlib.Path
-        The same after.
+        Daemons' output of the day after the change.
     image : pathlib.Path
-        The PNG to write.
+        PNG file to write.
     """
     days = {
         title: collect(losses.read_lines(file.read_text()))
--- a/benchmarks/routing_loop.py
+++ b/benchmarks/routing_loop.py
@@ -1,8 +1,8 @@
-"""A seeded event loop that drives the routing cores of several daemons.
+"""Seeded event loop that drives the routing cores of several daemons.
 
-It delays messages, runs requests in the slots of workers, and refuses when a
-worker is full; nothing else of a cluster is imitated. The decisions are those
-of `wigeonhitch.routing`.
+It delays messages, runs requests in the slots of workers, and refuses requests
+when a worker is full; nothing else of a cluster is simulated. The decisions are
+those of `wigeonhitch.routing`.
 """
 
 import collections
@@ -16,14 +16,14 @@
 
 __all__ = ["HOP_SECONDS", "CompletedRequest", "EventLoop", "Worker", "draw_work"]
 
-# Seconds one way between any two processes.
+# One-way network delay between any two processes.
 HOP_SECONDS = 0.001
 
 POOL = "lookup"
 
 
 class CompletedRequest(NamedTuple):
-    """The final answer of one request, and when its work began (None: never)."""
+    """A request's final answer and the start of its work (None: never)."""
 
     arrived_at: float
     answered_at: float
@@ -34,7 +34,7 @@
 
     @property
     def wait(self) -> float:
-        """Seconds between arrival and the start of work, less the one way."""
+        """Seconds from arrival to the start of work, less the one-way delay."""
         return self.started_at - self.arrived_at - HOP_SECONDS
 
 
@@ -57,9 +57,10 @@
     Parameters
     ----------
     daemons, workers : int
-        How many.
+        Number of daemons and of workers.
     seed : int
     policy : link.Policy
+        How slots are counted.
     """
 
     def __init__(
@@ -83,32 +84,32 @@
         self.on_message: Callable[[action.SendMessages], None] | None = None
         self.on_action: Callable[[str, action.Action], None] | None = None
         self._heap: list[tuple[float, int, Callable, tuple]] = []
-        self._count = 0
+        self._sequence = 0
         self._ticks: dict[str, float] = {}
         self._arrivals: dict[int, tuple[event.Arrived, float, str]] = {}
-        self._work: dict[int, float] = {}
+        self._work_seconds: dict[int, float] = {}
         self._started_at: dict[int, float] = {}
-        self._open: dict[tuple[str, int], tuple[action.Send, float]] = {}
+        self._open_attempts: dict[tuple[str, int], tuple[action.Send, float]] = {}
         self._running: dict[tuple[str, int], Worker] = {}
         self.set_members(self.names)
         self.set_view(1)
 
-    # The world around the daemons.
+    # Environment of the daemons.
 
-    def call_at(self, when: float, do: Callable, *args: Any) -> None:
-        """Call ``do`` at a time."""
-        self._count += 1
-        heapq.heappush(self._heap, (when, self._count, do, args))
+    def call_at(self, at: float, callback: Callable, *args: Any) -> None:
+        """Schedule a callback at a time."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (at, self._sequence, callback, args))
 
     def run(self, until: float) -> None:
         """Run until a time."""
         while self._heap and self._heap[0][0] <= until:
-            self.now, _, do, args = heapq.heappop(self._heap)
-            do(*args)
+            self.now, _, callback, args = heapq.heappop(self._heap)
+            callback(*args)
         self.now = until
 
     def set_members(self, members: list[str]) -> None:
-        """Let all living daemons see these members."""
+        """Set the members that all live daemons see."""
         for name in self.cores:
             self.deliver(name, event.MembersChanged(frozenset(members)))
 
@@ -118,7 +119,7 @@
         draining: tuple[str, ...] = (),
         names: list[str] | None = None,
     ) -> None:
-        """Let daemons (all unless named) see the workers."""
+        """Set the workers that the named daemons, by default all, see."""
         view = tuple(
             event.Worker(worker.vm, worker.slots, usable=worker.vm not in draining)
             for worker in self.workers.values()
@@ -135,13 +136,13 @@
         team: str = "clerks",
         idempotent: bool = False,
     ) -> int:
-        """Let a request arrive at a daemon now; returns its number."""
+        """Submit a request to a daemon now and return its number."""
         number = len(self._arrivals) + 1
         arrival = event.Arrived(
             number, "s", POOL, urgency, team, self.now + timeout, idempotent
         )
         self._arrivals[number] = (arrival, self.now, daemon)
-        self._work[number] = work
+        self._work_seconds[number] = work
         self.deliver(daemon, arrival)
         return number
 
@@ -152,21 +153,21 @@
         end: float,
         weights: list[float] | None = None,
         work: Callable[[random.Random], float] | None = None,
-        **kind: Any,
+        **options: Any,
     ) -> None:
-        """Let requests arrive at random, ``rate`` a second, over the daemons."""
+        """Submit requests as a Poisson process of ``rate`` per second."""
         work = work or draw_work
         rng = random.Random(self.rng.random())
 
         def arrive_next() -> None:
             names = [name for name in self.names if name not in self.killed]
-            chances = None
+            daemon_weights = None
             if weights is not None:
-                chances = [weights[self.names.index(name)] for name in names]
-            self.submit(rng.choices(names, chances)[0], work(rng), **kind)
-            when = self.now + rng.expovariate(rate)
-            if when < end:
-                self.call_at(when, arrive_next)
+                daemon_weights = [weights[self.names.index(name)] for name in names]
+            self.submit(rng.choices(names, daemon_weights)[0], work(rng), **options)
+            at = self.now + rng.expovariate(rate)
+            if at < end:
+                self.call_at(at, arrive_next)
 
         self.call_at(start + rng.expovariate(rate), arrive_next)
 
@@ -176,77 +177,79 @@
 
     def get_work(self, number: int) -> float:
         """Return the seconds of work of a request."""
-        return self._work[number]
+        return self._work_seconds[number]
 
     def list_arrivals(self) -> list[tuple[float, float]]:
-        """Return time and work of each request, in order."""
-        return [(when, self._work[n]) for n, (_, when, _) in self._arrivals.items()]
+        """Return arrival time and work of each request, in order."""
+        return [(at, self._work_seconds[n]) for n, (_, at, _) in self._arrivals.items()]
 
     def kill(self, daemon: str) -> None:
-        """End a daemon; callers of its requests get nothing."""
+        """Kill a daemon; its callers receive no answer."""
         self.killed.add(daemon)
 
     def pause(self, daemon: str) -> None:
-        """Stop a daemon; what is meant for it waits."""
+        """Pause a daemon; its events are queued."""
         self.paused[daemon] = []
 
     def resume(self, daemon: str) -> None:
-        """Let a daemon go on."""
-        for what in self.paused.pop(daemon):
-            self.deliver(daemon, what)
+        """Resume a paused daemon."""
+        for waiting in self.paused.pop(daemon):
+            self.deliver(daemon, waiting)
 
     def find_owner(self) -> str:
-        """Return the daemon that counts the slots."""
+        """Return the daemon that owns the pool and counts its slots."""
         return rendezvous.rank(POOL, self.names)[0]
 
     # Daemons.
 
-    def deliver(self, daemon: str, what: event.Event) -> None:
-        """Give an event to a daemon and do what it says."""
+    def deliver(self, daemon: str, incoming: event.Event) -> None:
+        """Deliver an event to a daemon and execute its actions."""
         if daemon in self.killed:
             return
         if daemon in self.paused:
-            if not isinstance(what, event.Tick):
-                self.paused[daemon].append(what)
+            if not isinstance(incoming, event.Tick):
+                self.paused[daemon].append(incoming)
             return
-        for act in self.cores[daemon].handle(what, self.now):
+        for act in self.cores[daemon].handle(incoming, self.now):
             if self.on_action is not None:
                 self.on_action(daemon, act)
-            self._do(daemon, act)
-        when = self.cores[daemon].next_timer()
-        if when is not None and self._ticks.get(daemon, when + 1.0) != when:
-            self._ticks[daemon] = when
-            self.call_at(max(when, self.now), self._tick, daemon, when)
-
-    def _tick(self, daemon: str, when: float) -> None:
-        if self._ticks.get(daemon) == when:
+            self._execute(daemon, act)
+        at = self.cores[daemon].next_timer()
+        if at is not None and self._ticks.get(daemon, at + 1.0) != at:
+            self._ticks[daemon] = at
+            self.call_at(max(at, self.now), self._tick, daemon, at)
+
+    def _tick(self, daemon: str, at: float) -> None:
+        if self._ticks.get(daemon) == at:
             del self._ticks[daemon]
             if daemon in self.paused:
-                self.call_at(self.now + 0.01, self._tick, daemon, when)
-                self._ticks[daemon] = when
+                self.call_at(self.now + 0.01, self._tick, daemon, at)
+                self._ticks[daemon] = at
                 return
             self.deliver(daemon, event.Tick())
 
-    def _do(self, daemon: str, act: action.Action) -> None:
+    def _execute(self, daemon: str, act: action.Action) -> None:
         if isinstance(act, action.Send):
             self.counts["sends"] += 1
-            self._open[(daemon, act.attempt)] = (act, self.now)
-            self.call_at(self.now + HOP_SECONDS, self._reach, daemon, act)
-            late = verdict.may_have_run(verdict.Reason.TIMEOUT)
-            self.call_at(self.now + act.timeout, self._abort, daemon, act.attempt, late)
+            self._open_attempts[(daemon, act.attempt)] = (act, self.now)
+            self.call_at(self.now + HOP_SECONDS, self._reach_worker, daemon, act)
+            timed_out = verdict.may_have_run(verdict.Reason.TIMEOUT)
+            self.call_at(
+                self.now + act.timeout, self._abort, daemon, act.attempt, timed_out
+            )
         elif isinstance(act, action.Answer):
             self._answer(act)
         elif isinstance(act, action.Abort):
-            gone = verdict.may_have_run(verdict.Reason.CANCELLED)
-            self._abort(daemon, act.attempt, gone)
+            cancelled = verdict.may_have_run(verdict.Reason.CANCELLED)
+            self._abort(daemon, act.attempt, cancelled)
         else:
             self.counts["frames"] += 1
             self.counts["messages"] += len(act.messages)
             if self.on_message is not None:
                 self.on_message(act)
             if daemon not in self.partitioned and act.daemon not in self.partitioned:
-                what = event.Received(daemon, act.messages)
-                self.call_at(self.now + HOP_SECONDS, self.deliver, act.daemon, what)
+                incoming = event.Received(daemon, act.messages)
+                self.call_at(self.now + HOP_SECONDS, self.deliver, act.daemon, incoming)
 
     def _answer(self, act: action.Answer) -> None:
         assert act.request not in self.completed, "answered twice"
@@ -256,43 +259,48 @@
             arrived_at, self.now, act.verdict, started_at, arrival.urgency, arrival.team
         )
 
-    def _end(
+    def _end_attempt(
         self,
         daemon: str,
         send: action.Send,
         result: verdict.Verdict,
         failed: bool,
     ) -> None:
-        """End an attempt once, by answer, timeout or abort."""
-        opened = self._open.pop((daemon, send.attempt), None)
-        if opened is not None:
-            seconds = self.now - opened[1]
-            what = event.AttemptEnded(
+        """End an attempt once, by answer, time-out or abort."""
+        open_attempt = self._open_attempts.pop((daemon, send.attempt), None)
+        if open_attempt is not None:
+            seconds = self.now - open_attempt[1]
+            incoming = event.AttemptEnded(
                 send.request, send.attempt, result, seconds, failed
             )
-            self.deliver(daemon, what)
+            self.deliver(daemon, incoming)
 
     # Workers.
 
     def _abort(self, daemon: str, attempt: int, result: verdict.Verdict) -> None:
-        """Close the connection of an attempt; the worker stops, unless frozen."""
-        opened = self._open.get((daemon, attempt))
-        if opened is None:
+        """Close an attempt's connection; the worker stops it unless frozen."""
+        open_attempt = self._open_attempts.get((daemon, attempt))
+        if open_attempt is None:
             return
         worker = self._running.get((daemon, attempt))
         if worker is not None and worker.mode != "frozen":
             del self._running[daemon, attempt]
             worker.running -= 1
         self.call_at(
-            self.now + HOP_SECONDS, self._end, daemon, opened[0], result, False
+            self.now + HOP_SECONDS,
+            self._end_attempt,
+            daemon,
+            open_attempt[0],
+            result,
+            False,
         )
 
-    def _reach(self, daemon: str, send: action.Send) -> None:
+    def _reach_worker(self, daemon: str, send: action.Send) -> None:
         worker = self.workers[send.vm]
         back = self.now + HOP_SECONDS
         if worker.mode == "down":
             result = verdict.not_run(verdict.Reason.NOT_CONNECTED)
-            self.call_at(back, self._end, daemon, send, result, False)
+            self.call_at(back, self._end_attempt, daemon, send, result, False)
             return
         if worker.mode == "refuse" or worker.running >= worker.slots:
             self.counts["refusals"] += 1
@@ -300,18 +308,18 @@
                 other.running < other.slots for other in self.workers.values()
             )
             result = verdict.not_run(verdict.Reason.WORKER_REFUSED)
-            self.call_at(back, self._end, daemon, send, result, False)
+            self.call_at(back, self._end_attempt, daemon, send, result, False)
             return
         self.runs[send.request] += 1
         self._started_at[send.request] = self.now
         worker.start_times.append(self.now)
         if worker.mode == "fail":
-            self.call_at(back, self._end, daemon, send, verdict.ran(), True)
+            self.call_at(back, self._end_attempt, daemon, send, verdict.ran(), True)
             return
         worker.running += 1
         self._running[daemon, send.attempt] = worker
         if worker.mode == "ok":
-            seconds = self._work[send.request] * worker.slowdown
+            seconds = self._work_seconds[send.request] * worker.slowdown
             worker.busy_seconds += seconds
             self.call_at(self.now + seconds, self._complete, worker, daemon, send)
 
@@ -320,10 +328,15 @@
             return
         worker.running -= 1
         self.call_at(
-            self.now + HOP_SECONDS, self._end, daemon, send, verdict.ran(), False
+            self.now + HOP_SECONDS,
+            self._end_attempt,
+            daemon,
+            send,
+            verdict.ran(),
+            False,
         )
 
 
 def draw_work(rng: random.Random) -> float:
-    """Draw seconds of work: mean 0.05, one in ten eleven times as long."""
+    """Draw seconds of work: mean 0.05; one in ten is eleven times as long."""
     return 0.275 if rng.random() < 0.1 else 0.025
--- a/examples/library/reporter.py
+++ b/examples/library/reporter.py
@@ -1,8 +1,8 @@
-"""A program of its own that embeds two coordination parts of wigeonhitch.
+"""Stand-alone program that embeds two coordination parts of wigeonhitch.
 
 Several copies of a reporter run. The one that holds the duty ``reports``
-dispatches reports, and each report is claimed first, so that it goes out at
-most once whichever copy dies or is paused. It uses no daemon: only
+dispatches reports. Each report is claimed first, so that it is sent at most once
+even if a copy dies or is paused. The program uses no daemon, only
 `wigeonhitch.membership.holder` (duty leases with fencing) and
 `wigeonhitch.idempotency.store` (claims), on any `table.Table` and
 `table.ObjectStore`. Run it as ``python examples/library/reporter.py``.
@@ -25,26 +25,26 @@
 DUTY = "reports"
 PROGRESS = "reports/progress"
 
-# Seconds. Real programs keep the defaults of `duty.Limits`; these are short so
-# that the example ends soon.
+# Shorter than the defaults of `duty.Limits`, which real programs keep, so that
+# the example ends soon.
 LIMITS = duty.Limits(lease=0.6, margin=0.1, rank_delay=0.02, min_renewal_interval=0.02)
-CLAIM_TIMEOUT = 2.0
-TICK = 0.01
-PATIENCE = 10.0
+CLAIM_TIMEOUT_SECONDS = 2.0
+TICK_SECONDS = 0.01
+DUTY_TIMEOUT_SECONDS = 10.0
 
 NAMES = ("gas-17", "moisture-17", "gas-18")
 
 
 class Outlet(Protocol):
-    """Where reports go; supplied by the program."""
+    """Destination of reports, supplied by the program."""
 
     async def send(self, name: str) -> bytes | None:
-        """Dispatch a report; None when its fate is unknown."""
+        """Send a report and return its receipt; None if the outcome is unknown."""
         ...
 
 
 class Sent(enum.Enum):
-    """What became of one report in this round."""
+    """Result of one report in this round."""
 
     NOW = "sent"
     BEFORE = "was sent before"
@@ -58,12 +58,13 @@
     Parameters
     ----------
     leases : lease.Leases
-        The duties of this process.
+        Duty leases of this process.
     claims : store.Claims
-        Its claims; their task must run.
+        Claims of this process; their task must be running.
     rows : table.Table
-        Where progress is written.
+        Table that progress is written to.
     outlet : Outlet
+        Destination of the reports.
     """
 
     def __init__(
@@ -79,17 +80,17 @@
         self._outlet = outlet
 
     async def dispatch(self, names: Sequence[str]) -> dict[str, Sent] | None:
-        """Dispatch what was not yet; None without the duty."""
+        """Dispatch reports that were not sent yet; None without the duty."""
         if self._leases.current(DUTY) is None:
             return None
         results = {name: await self._dispatch_one(name) for name in names}
-        await self._claims.flush(CLAIM_TIMEOUT)
+        await self._claims.flush(CLAIM_TIMEOUT_SECONDS)
         return results
 
     async def _dispatch_one(self, name: str) -> Sent:
         fingerprint = record.compute_fingerprint("SEND", name, b"")
         acquired = await self._claims.acquire(
-            DUTY, name, fingerprint, timeout=CLAIM_TIMEOUT
+            DUTY, name, fingerprint, timeout=CLAIM_TIMEOUT_SECONDS
         )
         if acquired.kind is decision.Kind.REPLAYED:
             return Sent.BEFORE
@@ -99,8 +100,8 @@
                 and acquired.caller_verdict.is_retriable
             )
             return Sent.NOT_SENT if is_retriable else Sent.UNKNOWN
-        # Asked right before the step that can't be taken back: the process may
-        # have been paused since the claim.
+        # Checked right before the irreversible step: the process may have been
+        # paused since the claim.
         if self._leases.current(DUTY) is None or not self._claims.may_send(
             acquired.claim
         ):
@@ -113,19 +114,23 @@
         await self._claims.complete(acquired.claim, record.KeptAnswer(200, (), receipt))
         return Sent.NOW
 
-    async def note_progress(self, held: lease.Lease, count: int) -> table.CommitResult:
-        """Write progress under the fence of a lease.
+    async def write_progress(
+        self, held_lease: lease.Lease, count: int
+    ) -> table.CommitResult:
+        """Write progress, fenced by a lease.
 
-        A holder that was replaced fails at ``held.condition``, however long it
-        was paused and whatever it believes.
+        The write of a replaced holder fails at the lease's ``condition``, however
+        long the holder was paused.
         """
         return await self._rows.commit(
-            [held.condition], [table.Write(PROGRESS, {"count": count})], purpose=DUTY
+            [held_lease.condition],
+            [table.Write(PROGRESS, {"count": count})],
+            purpose=DUTY,
         )
 
 
 class Printer:
-    """An outlet that prints, and remembers what truly went out."""
+    """Outlet that prints reports and records those it sent."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
@@ -137,8 +142,8 @@
         return b"received"
 
 
-class Outcome(NamedTuple):
-    """What the demonstration saw."""
+class Demonstration(NamedTuple):
+    """Results of the demonstration."""
 
     first: dict[str, Sent] | None
     second: dict[str, Sent] | None
@@ -146,23 +151,23 @@
     sent: tuple[str, ...]
 
 
-async def demonstrate() -> Outcome:
-    """Let one copy dispatch, be cut off and be replaced by another."""
+async def demonstrate() -> Demonstration:
+    """Run one copy, cut it off and let another copy replace it."""
     platform = fake.Fake(suspends=True)
     outlet = Printer()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_run_clock, platform)
-        one, one_leases = await _start(tasks, platform, "copy-1", outlet)
-        held = await _wait_for_duty(one_leases)
-        first = await one.dispatch(NAMES[:2])
+        first_copy, first_leases = await _start(tasks, platform, "copy-1", outlet)
+        held_lease = await _wait_for_duty(first_leases)
+        first = await first_copy.dispatch(NAMES[:2])
         platform.switch(cut=["copy-1"])
-        two, two_leases = await _start(tasks, platform, "copy-2", outlet)
-        await _wait_for_duty(two_leases)
-        second = await two.dispatch(NAMES)
+        second_copy, second_leases = await _start(tasks, platform, "copy-2", outlet)
+        await _wait_for_duty(second_leases)
+        second = await second_copy.dispatch(NAMES)
         platform.switch(cut=[])
-        late_write = await one.note_progress(held, 99)
+        late_write = await first_copy.write_progress(held_lease, 99)
         tasks.cancel_scope.cancel()
-    return Outcome(first, second, late_write, tuple(outlet.sent))
+    return Demonstration(first, second, late_write, tuple(outlet.sent))
 
 
 async def _start(
@@ -183,25 +188,28 @@
 
 async def _run_clock(platform: fake.Fake) -> None:
     while True:
-        await anyio.sleep(TICK)
-        platform.advance(TICK)
+        await anyio.sleep(TICK_SECONDS)
+        platform.advance(TICK_SECONDS)
 
 
 async def _wait_for_duty(leases: lease.Leases) -> lease.Lease:
-    with anyio.fail_after(PATIENCE):
-        while (held := leases.current(DUTY)) is None:
-            await anyio.sleep(TICK)
-    return held
-
-
-def main() -> Outcome:
-    """Run the demonstration and print what it shows."""
-    seen = anyio.run(demonstrate)
-    for title, results in (("copy-1", seen.first), ("copy-2", seen.second)):
+    with anyio.fail_after(DUTY_TIMEOUT_SECONDS):
+        while (held_lease := leases.current(DUTY)) is None:
+            await anyio.sleep(TICK_SECONDS)
+    return held_lease
+
+
+def main() -> Demonstration:
+    """Run the demonstration and print its results."""
+    demonstration = anyio.run(demonstrate)
+    for title, results in (
+        ("copy-1", demonstration.first),
+        ("copy-2", demonstration.second),
+    ):
         for name, result in (results or {}).items():
             print(f"{title}: {name} {result.value}")
-    print(f"late write of copy-1: {seen.late_write.outcome.value}")
-    return seen
+    print(f"late write of copy-1: {demonstration.late_write.outcome.value}")
+    return demonstration
 
 
 if __name__ == "__main__":
